--- a/src/kingcupgrade/coordination/traffic/backlog.rs
+++ b/src/kingcupgrade/coordination/traffic/backlog.rs
@@ -1,9 +1,9 @@
-//! Prompt tokens that an engine has not read yet, of the requests of one entry.
+//! Prompt tokens of one entry's requests that an engine has not read yet.
 //!
-//! An engine reads prompts in the order of their arrival. Counted until their first event, long
-//! prompts look unread long after most of them is read, and requests are sent away from an engine
-//! that is about to be free. So what is unread shrinks with time, from the oldest on, and a first
-//! event clears its own prompt and all before it.
+//! An engine reads prompts in the order of their arrival. If a prompt counted in full until its
+//! first event, a long one would look unread long after most of it has been read, and requests
+//! would be sent away from an engine that is about to be free. So the estimate shrinks with time,
+//! oldest prompt first, and a first event clears its own prompt and all before it.
 
 use std::collections::VecDeque;
 
@@ -16,7 +16,7 @@
     left: f64,
 }
 
-/// The unread prompts of one entry at one engine.
+/// The unread prompts of one entry at one engine, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct Backlog {
     prompts: VecDeque<Prompt>,
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Lets the engine read for the time since the last call, at this entry's part of its rate in
-    /// tokens a millisecond.
+    /// Advances the estimate by the time since the last call; `rate` is this entry's share of the
+    /// engine's read rate, in tokens per millisecond.
     pub fn read(&mut self, now: Millis, rate: f64) {
         let mut tokens = now.since(self.at).0 as f64 * rate;
         self.at = now;
@@ -46,19 +46,19 @@
         }
     }
 
-    /// Notes the first event of a request: its prompt and all before it are read.
+    /// Records the first event of a request: its prompt and all before it have been read.
     pub fn on_first_event(&mut self, no: RequestNo) {
         if let Some(place) = self.prompts.iter().position(|prompt| prompt.no == no) {
             self.prompts.drain(..=place);
         }
     }
 
-    /// Removes a request that ended otherwise.
+    /// Removes a request that ended without a first event.
     pub fn remove(&mut self, no: RequestNo) {
         self.prompts.retain(|prompt| prompt.no != no);
     }
 
-    /// Returns the unread tokens.
+    /// Returns the estimated number of unread tokens.
     pub fn tokens(&self) -> u64 {
         self.prompts.iter().map(|prompt| prompt.left as u64).sum()
     }
