--- a/src/kingcupgrade/coordination/traffic/budget.rs
+++ b/src/kingcupgrade/coordination/traffic/budget.rs
@@ -1,17 +1,18 @@
-//! The budget of repeats.
+//! The retry budget.
 //!
-//! When upstreams fail, every request that is sent again is load on those that are left. The fleet
-//! as a whole may send a fixed part of its requests again; an entry spends its own part of that
-//! without asking anyone, so the sum holds also while entries can't reach each other.
+//! When upstreams fail, every retry adds load to those that are left. The fleet as a whole may
+//! retry a fixed fraction of its requests. Each entry spends its own share of that without
+//! coordination, so the limit also holds while entries can't reach each other.
 
 use std::collections::VecDeque;
 
 use crate::core::Millis;
 
-/// Parts of the window that are counted by themselves; a finer count is dropped sooner.
+/// Slices of the window. Each is counted and dropped as a whole, so more slices drop old counts
+/// sooner.
 const SLICES: u64 = 10;
-/// The part of the allowance that is spent. Arrivals are counted at the upstreams a little later
-/// than they are sent here, and so fall into windows that this entry can't see exactly.
+/// The fraction of the allowance that is spent. Arrivals are counted at the upstreams a little
+/// after they are sent here, and so fall into windows that this entry can't see exactly.
 const SAFE_PART: f64 = 0.7;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,20 +22,20 @@
     repeats: u32,
 }
 
-/// Requests and repeats of one service in a sliding window.
+/// Requests and retries of one service in a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     slices: VecDeque<Slice>,
 }
 
-/// What the fleet may repeat.
+/// How many retries the whole fleet may make in a window.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
-    /// Repeats for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats beyond that, by the whole fleet.
+    /// Retries allowed in addition, by the whole fleet.
     pub slack: f64,
-    /// The window.
+    /// The length of the sliding window.
     pub window: Millis,
 }
 
@@ -44,7 +45,7 @@
         self.slice(now, allowance).requests += 1;
     }
 
-    /// Spends a repeat if there is one left for this entry, one of `entries`.
+    /// Spends a retry if this entry, one of `entries`, has one left; returns whether it had.
     pub fn try_repeat(&mut self, now: Millis, allowance: Allowance, entries: usize) -> bool {
         self.slice(now, allowance);
         let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
