--- a/src/kingcupgrade/coordination/traffic/cold.rs
+++ b/src/kingcupgrade/coordination/traffic/cold.rs
@@ -1,21 +1,23 @@
-//! Each entry's part of the requests that a cold upstream bears.
+//! Each entry's share of the request rate that a cold upstream can take.
 //!
-//! The sum over all entries must stay within what the upstream bears, also while entries can't
-//! reach each other, so each keeps to a fixed part. In a large fleet an even part is less than one
-//! request in the whole cold span, and what all entries save up comes at once: the upstream falls
-//! over. So only a few entries send to it, the same for all by rank, each with a part of use.
+//! The rate over all entries must stay within what the upstream can take, also while entries can't
+//! reach each other, so each entry keeps to a fixed share. In a large fleet an even share is less
+//! than one request in the whole time that an upstream is cold. Each entry would save up one
+//! request, all of these would arrive at once, and the upstream would crash. So only a few entries
+//! send to it, chosen by rendezvous hashing so that all entries agree on them, each with a share
+//! large enough to be useful.
 
 use crate::{
     core::{Instance, UpstreamName},
     util::rendezvous,
 };
 
-/// The least part that is of use, in requests a second. An entry may save up one request, so the
-/// upstream gets at most a third more in any second than it bears.
+/// The smallest useful share, in requests per second. An entry may save up one request, so in any
+/// second the upstream gets at most a third more than it can take.
 const LEAST_PART: f64 = 3.0;
 
-/// Returns the requests a second that one of `entries` may send to a cold upstream that bears
-/// `rate` in all.
+/// Returns the requests per second that `entry`, one of `entries`, may send to a cold upstream that
+/// can take `rate` in all.
 pub fn cold_share(
     rate: f64,
     upstream: &UpstreamName,
