--- a/src/kingcupgrade/coordination/traffic/demand.rs
+++ b/src/kingcupgrade/coordination/traffic/demand.rs
@@ -1,60 +1,62 @@
-//! What a request asks of an upstream.
+//! What is known of a request before it is sent to an upstream.
 
 use std::sync::Arc;
 
 use crate::core::{Millis, Organisation, Service, UpstreamName};
 
-/// A part of a prompt; requests with the same part share what an engine keeps of it.
+/// A part of a prompt. Requests that have a part in common share what an engine caches for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// What names the part.
+    /// Identifies the part; the same in all requests that share it.
     pub id: u64,
-    /// Its tokens.
+    /// The number of tokens in the part.
     pub tokens: u32,
 }
 
-/// Names a request within its entry.
+/// Identifies a request within its entry.
 pub type RequestNo = u64;
 
 /// A request that is to be sent to an upstream.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// The request.
+    /// The request's number.
     pub no: RequestNo,
-    /// The service it goes to.
+    /// The service that the request is for.
     pub service: Service,
-    /// The route, for what is learned by route.
+    /// The route, by which the number of generated tokens is learned.
     pub route: Arc<str>,
-    /// Whose it is.
+    /// The organisation that the request is charged to.
     pub organisation: Organisation,
-    /// When it arrived.
+    /// When the request arrived at this entry.
     pub arrived: Millis,
-    /// Until when the first byte of its answer should be there.
+    /// The time by which the first byte of the answer should be there.
     pub target: Millis,
-    /// Until when it may take.
+    /// The time by which the request must have ended.
     pub deadline: Millis,
-    /// The parts of its prompt, in their order; empty where no engine reads one.
+    /// The parts of the prompt, in order; empty for a service whose upstreams are not model
+    /// engines.
     pub prompt: Arc<[PromptPart]>,
-    /// Tokens it is expected to generate.
+    /// The number of tokens that the request is expected to generate.
     pub output: u32,
-    /// Upstreams that it must not go to again.
+    /// Upstreams that the request must not be sent to again.
     pub avoid: Vec<UpstreamName>,
 }
 
 impl Demand {
-    /// Returns the tokens of the prompt.
+    /// Returns the number of tokens in the prompt.
     pub fn prompt_tokens(&self) -> u64 {
         self.prompt.iter().map(|part| u64::from(part.tokens)).sum()
     }
 
-    /// Returns the part that decides where the request is best placed: the last one that other
-    /// requests share. The last part of all is the request's own.
+    /// Returns the id of the part by which upstreams are ranked for the request: the last part that
+    /// other requests may share. The very last part of a prompt is the request's own.
     pub fn affinity(&self) -> Option<u64> {
         let shared = self.prompt.len().checked_sub(2).and_then(|place| self.prompt.get(place));
         shared.or(self.prompt.first()).map(|part| part.id)
     }
 
-    /// Returns the engine's work: each token read once, each generated twice.
+    /// Returns the work that the request is for an engine, in tokens: prompt tokens count once,
+    /// generated tokens twice.
     pub fn work(&self) -> f64 {
         self.prompt_tokens() as f64 + 2.0 * f64::from(self.output)
     }
