--- a/src/kingcupgrade/coordination/traffic/engine.rs
+++ b/src/kingcupgrade/coordination/traffic/engine.rs
@@ -1,27 +1,27 @@
-//! What is learned of a model engine's speed from the answers that it gives.
+//! The prompt read rate of model engines, estimated from their answers.
 //!
-//! Nobody tells how fast an engine reads. It shows in the time to the first event: what was
-//! unread before a request, and its own prompt, over the time they took.
+//! Engines don't report how fast they read prompts. The rate follows from the time to the first
+//! event: the tokens that were unread before a request plus its own prompt, divided by that time.
 
 use crate::core::Millis;
 
-/// Tokens read in a millisecond until answers tell more: slow enough that a slow engine's callers
-/// still get their first event on time.
+/// The read rate assumed before any answer, in tokens per millisecond: low enough that callers of a
+/// slow engine still get their first event on time.
 const FIRST_READ_RATE: f64 = 60.0;
-/// The slowest and fastest rates believed, in tokens a millisecond; beyond these the time was
-/// spent on something else.
+/// The lowest and highest read rates that are accepted, in tokens per millisecond. A measurement
+/// outside of them is clamped, since the time was spent on something else.
 const READ_RATES: (f64, f64) = (20.0, 160.0);
-/// The time to a first event that doesn't depend on the prompt, in milliseconds.
+/// The part of the time to a first event that doesn't depend on the prompt, in milliseconds.
 const FIRST_EVENT_BASE: f64 = 80.0;
-/// Answers with less to read than this say nothing about the rate, in tokens, unless they come
-/// sooner than expected.
+/// Answers with fewer tokens to read than this are ignored, unless they come sooner than expected:
+/// they say too little about the rate.
 const TELLING_TOKENS: u64 = 4_000;
-/// Answers with less to read than this say nothing at all.
+/// Answers with fewer tokens to read than this are always ignored.
 const LEAST_TOKENS: u64 = 1_000;
-/// The weight of one answer.
+/// The weight of one answer in the moving average.
 const GAIN: f64 = 0.05;
 
-/// The speed of the engines of one service.
+/// The estimated speed of the engines of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSpeed {
     read_rate: f64,
@@ -34,10 +34,11 @@
 }
 
 impl EngineSpeed {
-    /// Learns from the time to a first event; `tokens` were to be read until then.
+    /// Updates the estimate from the time to a first event, before which `tokens` had to be read.
     ///
-    /// An engine thought slow gets little at a time. Were only large amounts to tell its rate, one
-    /// overload would be believed for good.
+    /// An engine that is thought slow gets few tokens at a time. If only large amounts counted as
+    /// evidence, the estimate could never rise again after one overload. So smaller amounts also
+    /// count when they are read sooner than expected.
     pub fn on_first_event(&mut self, tokens: u64, took: Millis) {
         let is_sooner = (took.0 as f64) < self.first_event_ms(tokens);
         if tokens < LEAST_TOKENS || (tokens < TELLING_TOKENS && !is_sooner) {
@@ -48,12 +49,13 @@
         self.read_rate += GAIN * (rate - self.read_rate);
     }
 
-    /// Returns how long it takes until the first event after `tokens` are read, in milliseconds.
+    /// Returns the expected time to a first event before which `tokens` have to be read, in
+    /// milliseconds.
     pub fn first_event_ms(&self, tokens: u64) -> f64 {
         FIRST_EVENT_BASE + tokens as f64 / self.read_rate
     }
 
-    /// Returns the tokens read in a millisecond.
+    /// Returns the estimated read rate, in tokens per millisecond.
     pub fn read_rate(&self) -> f64 {
         self.read_rate
     }
