--- a/src/kingcupgrade/coordination/traffic/others.rs
+++ b/src/kingcupgrade/coordination/traffic/others.rs
@@ -1,8 +1,8 @@
-//! What the other entries have told of late, and its sums.
+//! The latest load reports of the other entries, and their sums.
 //!
-//! Reports arrive hundreds of times a second in a large fleet, and decisions read their sums more
-//! often still. Adding all reports up for each one that arrives takes a small processor whole at
-//! some dozen entries, so a report only replaces its sender's part in the sums.
+//! In a large fleet hundreds of reports arrive per second, and their sums are read more often
+//! still. Adding up all reports whenever one arrives would take all of a small processor with some
+//! dozens of entries, so a new report only replaces its sender's previous one in the sums.
 
 use std::collections::BTreeMap;
 
@@ -15,19 +15,19 @@
 
 type Upstreams = BTreeMap<UpstreamName, Upstream>;
 
-/// What an organisation asked of the other entries and got there, in tokens of the span in which
-/// shares are counted.
+/// The demand and usage of an organisation at the other entries, in tokens, as sums that decay with
+/// the time constants of the shares.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Told {
-    /// Asked for.
+    /// Tokens asked for.
     pub asked: f64,
-    /// Served.
+    /// Tokens served.
     pub served: f64,
-    /// Refused a moment ago.
+    /// Tokens refused, with the shorter time constant of refusals.
     pub refused: f64,
 }
 
-/// The other entries' reports.
+/// The other entries' reports and their sums.
 #[derive(Debug, Default)]
 pub struct Others {
     reports: BTreeMap<Instance, (Millis, LoadReport)>,
@@ -35,7 +35,7 @@
 }
 
 impl Others {
-    /// Takes in what another entry tells.
+    /// Replaces the report of an entry.
     pub fn on_report(
         &mut self,
         now: Millis,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Drops the reports of entries that have fallen silent, in a fleet of so many.
+    /// Drops the reports of entries that have stopped sending them; `entries` is the fleet's size.
     pub fn expire(&mut self, now: Millis, entries: usize, upstreams: &mut Upstreams) {
         let ttl = report_ttl(entries);
         let is_old = |at: Millis| now.since(at) > ttl;
@@ -62,12 +62,12 @@
             self.count(&report, -1.0);
         }
         if self.reports.is_empty() {
-            // Nothing is left of what rounding may have left.
+            // With no report left the sums are exactly zero, so rounding errors are dropped too.
             self.told.clear();
         }
     }
 
-    /// Adds all reports up anew, after other upstreams were listed.
+    /// Recomputes the sums of all upstreams, after the list of upstreams has changed.
     pub fn recount(&self, upstreams: &mut Upstreams) {
         for upstream in upstreams.values_mut() {
             upstream.others = Default::default();
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns what each organisation asked of the other entries and got.
+    /// Returns the demand and usage of each organisation at the other entries.
     pub fn told(&self) -> &BTreeMap<Organisation, Told> {
         &self.told
     }
