--- a/src/kingcupgrade/coordination/traffic/placement.rs
+++ b/src/kingcupgrade/coordination/traffic/placement.rs
@@ -1,63 +1,69 @@
-//! Where a request goes: the upstream that answers it soonest, counting what reading costs others.
+//! Selects the upstream for a request: the one with the earliest expected answer, weighed against
+//! the engine time that re-reading a prompt costs other requests.
 //!
-//! An engine that keeps a prompt's shared parts reads only the rest. Entries agree on where a
-//! shared part belongs without a word between them, by ranking the upstreams by a hash of the part
-//! and the upstream; what an entry sent somewhere itself it knows besides.
+//! An engine that has cached a prompt's shared parts reads only the rest. All entries rank the
+//! upstreams by a hash of the shared part and the upstream's name, so they agree on its preferred
+//! upstream without exchanging messages. In addition each entry knows where it sent a part itself.
 
 use super::{Traffic, demand::Demand, engine::EngineSpeed, upstream::Upstream};
 use crate::core::{FailureDomain, Millis, UpstreamName};
 
-/// The part of an engine's memory that is filled; generations run over their estimates.
+/// The fraction of an engine's memory that is filled; the rest is left for generations that run
+/// over their estimates.
 const MEMORY_PART: f64 = 0.9;
-/// Reading a shared part again takes an engine's time from everybody, and memory from other parts.
-/// It counts this many times its own time against an earlier first event of the one request: a
-/// shared part of some thousand tokens stays at its home as long as the target is met there.
+/// The weight of the time to re-read a shared part, against an earlier first event for this one
+/// request. Re-reading takes engine time from all requests and memory from other cached parts. With
+/// this weight a shared part of some thousand tokens stays at its preferred upstream as long as the
+/// target is met there.
 const READ_AGAIN_WEIGHT: f64 = 12.0;
-/// The part of the time left to the target up to which a first event is safe: estimates are off by
-/// what other entries sent since their last report.
+/// The fraction of the time left to the target within which an expected first event is safe:
+/// estimates miss what other entries have sent since their last report.
 const SAFE_PART: f64 = 0.6;
-/// Each millisecond beyond the safe part counts this many times.
+/// The weight of each millisecond beyond the safe fraction.
 const UNSAFE_WEIGHT: f64 = 4.0;
-/// The part of an engine's slots that is filled. Each further one slows all the others' events.
+/// The fraction of an engine's slots that is filled. Each further running request slows the events
+/// of all others.
 const SLOT_PART: f64 = 0.95;
-/// Milliseconds that one request running there counts for: each makes a step of the engine longer.
+/// The cost of each request that runs on the engine, in milliseconds: each makes the engine's steps
+/// longer.
 const RUNNING_WEIGHT: f64 = 0.5;
-/// Milliseconds that each further place in a part's ranking counts for, so that entries that leave
-/// a busy home go to the same next one.
+/// The cost of each further position in a part's ranking, in milliseconds, so that entries that
+/// avoid a busy preferred upstream go to the same next one.
 const RANK_WEIGHT: f64 = 10.0;
-/// Time kept free before the target, for the way to the caller, in milliseconds.
+/// Time kept free before the target for the way to the caller, in milliseconds.
 const MARGIN: f64 = 40.0;
-/// Requests under way at a plain upstream, as a multiple of its slots. Those beyond wait there for
-/// a part of one request's time, less than the reports of other entries are old.
+/// The limit of requests under way at a plain upstream, as a multiple of its slots. Those beyond
+/// its slots wait there for a fraction of one request's duration, which is less than the age of the
+/// other entries' reports.
 const PLAIN_DEPTH: u32 = 2;
-/// A plain upstream in another failure domain counts as this much of a request busier: the way
-/// there takes time and costs the users by the byte.
+/// The cost of a plain upstream in another failure domain, in requests under way: traffic between
+/// failure domains takes time and is paid for by the byte.
 const FAR_WEIGHT: f64 = 0.4;
 
-/// Upstreams looked at before the best of them is taken, in the order of their ranking. Those
-/// behind cost a quarter of a second more by their place alone, and looking at each of a hundred
-/// takes a small processor half a millisecond a request.
+/// The number of upstreams that are compared before the best of them is taken, in the order of
+/// their ranking. Those behind cost about a quarter of a second more by their position alone, and
+/// comparing a hundred takes a small processor half a millisecond per request.
 const LOOKED_AT_ONCE: usize = 24;
 
-/// Why no upstream takes a request now.
+/// Why no upstream can take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoPlace {
-    /// There is none at all, or all are out, leaving or avoided.
+    /// The service has no upstream, or all are out of service, leaving or avoided by the request.
     Nobody,
-    /// All are full, or would answer too late.
+    /// All upstreams are full or would answer too late.
     Full,
 }
 
-/// On which terms a request is placed.
+/// The conditions under which a request is placed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Terms {
-    /// The part of the time left to its target in which its first event must be expected.
+    /// The fraction of the time left to the target within which the first event must be expected.
     pub(super) budget: f64,
-    /// Whether shared parts may be read again.
+    /// Whether a shared part may be sent to an engine that has to read it again.
     pub(super) may_read_again: bool,
 }
 
-/// Ranks an upstream for a shared part, the same on every entry.
+/// Returns the rank of an upstream for a shared part; the same on every entry.
 fn rank(part: u64, name: &UpstreamName) -> u64 {
     let mut hash = part ^ 0x9e37_79b9_7f4a_7c15;
     for byte in name.as_str().bytes() {
@@ -69,7 +75,7 @@
 }
 
 impl Traffic {
-    /// Finds the upstream for a request.
+    /// Selects the upstream for a request.
     pub(super) fn place(
         &mut self,
         now: Millis,
@@ -107,7 +113,8 @@
                 }
                 None => plain_cost(now, upstream, &self.settings.failure_domain),
             };
-            // A cold one is no home yet: it can't take all of what belongs to it.
+            // A cold upstream takes no position in the ranking: it can't take all requests for the
+            // parts that prefer it.
             place += usize::from(!upstream.is_cold(now));
             if let Some(cost) = cost
                 && best.as_ref().is_none_or(|(least, _)| cost < *least)
@@ -118,7 +125,7 @@
         best.map(|(_, name)| name).ok_or(NoPlace::Full)
     }
 
-    /// Returns how long it takes until the first of the upstreams has read what it was sent.
+    /// Returns the time until the least loaded usable upstream has read all prompts sent to it.
     pub(super) fn room_in(&mut self, now: Millis, demand: &Demand) -> Millis {
         let speed = self.speeds.get(&demand.service).copied().unwrap_or_default();
         let names = self.usable(now, demand);
@@ -131,8 +138,8 @@
         Millis((least as f64 / speed.read_rate()) as u64)
     }
 
-    /// Lists the upstreams that may get a request: ready, in service, and not failing unless most
-    /// of them fail.
+    /// Lists the upstreams that may get a request: those that are ready, in service and not
+    /// ejected. If more than two thirds are ejected, they are included too.
     fn usable(&self, now: Millis, demand: &Demand) -> Vec<UpstreamName> {
         let all = self.by_service.get(&demand.service).into_iter().flatten();
         let known = all.filter_map(|name| Some((name, self.upstreams.get(name)?)));
@@ -144,26 +151,27 @@
         let (aside, sound): (Vec<_>, Vec<_>) =
             ready.partition(|(_, upstream)| upstream.health.is_aside(now));
         let is_most = sound.len() * 3 >= sound.len() + aside.len();
-        // Where most seem to fail, the cause is more likely here or everywhere.
+        // If most seem to fail, the cause is more likely this entry or something that all of them
+        // share.
         let usable = if is_most { Vec::new() } else { aside };
         sound.into_iter().chain(usable).map(|(name, _)| name.clone()).collect()
     }
 }
 
-/// What a request has to fit into at an engine.
+/// The limits that a request has to fit at an engine.
 #[derive(Clone, Copy)]
 struct Fit {
     kv_capacity: u64,
     speed: EngineSpeed,
-    /// Milliseconds in which the first event must come.
+    /// The time left until the first event is due, in milliseconds.
     left: f64,
-    /// The engine's place in the ranking of the request's shared part.
+    /// The engine's position in the ranking for the request's shared part.
     place: usize,
     terms: Terms,
 }
 
-/// Returns the milliseconds until an engine's first event with what they cost others, or `None`
-/// if the engine is full or the event would come too late.
+/// Returns the expected time to the first event plus the weighted costs for other requests, in
+/// milliseconds, or `None` if the engine is full or the event would come too late.
 fn engine_cost(now: Millis, upstream: &Upstream, demand: &Demand, fit: Fit) -> Option<f64> {
     let slots = f64::from(upstream.listed.slots) * SLOT_PART;
     let running = upstream.running(now);
@@ -171,7 +179,7 @@
         return None;
     }
     let own_part = demand.prompt.last().map_or(0, |part| u64::from(part.tokens));
-    // At the home of a shared part other entries have sent it before.
+    // Other entries have already sent the shared parts to their preferred engine.
     let unread =
         if fit.place == 0 { own_part } else { upstream.unread_of(now, demand).max(own_part) };
     let again = (unread - own_part) as f64;
@@ -184,7 +192,8 @@
         return None;
     }
     let first_event = fit.speed.first_event_ms(upstream.unread() + unread);
-    // A prompt that takes longer to read than there is time fits an engine that reads nothing else.
+    // A prompt that takes longer to read than the time left is still accepted by an engine that has
+    // nothing else to read.
     if first_event > left && upstream.unread() > 0 {
         return None;
     }
@@ -194,7 +203,7 @@
     Some(first_event + again + unsafe_ms + f64::from(running) * RUNNING_WEIGHT + rank)
 }
 
-/// Returns how busy a plain upstream is, or `None` if it is full.
+/// Returns the cost of a plain upstream, in requests under way, or `None` if it is full.
 fn plain_cost(now: Millis, upstream: &Upstream, domain: &FailureDomain) -> Option<f64> {
     let running = upstream.running(now);
     if running >= upstream.listed.slots * PLAIN_DEPTH {
