--- a/src/kingcupgrade/coordination/traffic/queue.rs
+++ b/src/kingcupgrade/coordination/traffic/queue.rs
@@ -1,58 +1,62 @@
-//! Requests that wait for room, and those that are refused.
+//! Queues requests until an upstream has capacity, and refuses those that can't be served in time.
 //!
-//! Engines begin requests in the order of arrival. What is sent before there is room waits there,
-//! where nobody can choose any more, so it waits here, in front of them. Those within their
-//! organisation's share go first, then the most urgent. Waiting is short: a request that can't meet
-//! its target any more is refused at once, with the time at which room is expected.
+//! Engines begin requests in the order of arrival. A request sent before there is capacity would
+//! wait at the engine, where its order can't be changed any more, so it waits at the entry.
+//! Requests within their organisation's share go first, then those with the earliest target. A
+//! request that can't meet its target any more is refused at once, with the time after which
+//! capacity is expected.
 
 use super::{Demand, NoPlace, RequestNo, Standing, Traffic, Verdict, placement::Terms};
 use crate::core::{Code, Millis};
 
-/// The part of the time to its target that a request within its share may wait; what is left must
-/// do for the reading of its prompt.
+/// The fraction of the time to its target that a request within its organisation's share may wait;
+/// the rest must suffice to read its prompt.
 const WAIT_PART: f64 = 0.5;
-/// The same beyond its share: short, since an early refusal lets the caller come back in time.
+/// The same fraction beyond the share: short, since an early refusal lets the caller retry in time.
 const WAIT_PART_BEYOND: f64 = 0.12;
-/// The part of the time to its target in which the first event of a request beyond its share must
-/// be expected, so that what it adds is read before those within theirs have to wait.
+/// The fraction of the time left to the target within which the first event of a request beyond its
+/// organisation's share must be expected, so that its prompt is read before requests within their
+/// shares have to wait.
 const BUDGET_FAIR: f64 = 0.6;
-/// Requests that may wait at one entry; more than can be served within any target.
+/// The limit of waiting requests at one entry; more than can be served within any target.
 const MAX_WAITING: usize = 400;
-/// Requests looked at in one turn: a small processor must not spend it on looking.
+/// The limit of waiting requests that are tried in one poll, so that polling doesn't take up a
+/// small processor.
 const MAX_LOOKS: usize = 24;
-/// Turns are at least this far apart, however many requests end: a fraction of any target, and of
-/// what looking takes.
+/// The minimum interval between two polls, however many requests end: a small fraction of any
+/// target, and long against the time that a poll takes.
 const MIN_POLL_INTERVAL: Millis = Millis(3);
-/// Upstreams looked at in one turn, each a quarter of a microsecond: under a fiftieth of the time
-/// between two turns.
+/// The limit of upstreams that are compared in one poll. Each takes a quarter of a microsecond, so
+/// a poll takes about a twentieth of the interval between two.
 const MAX_UPSTREAM_LOOKS: usize = 600;
-/// The soonest that a refused caller is asked back: sooner, what it was refused on has not changed.
+/// The minimum retry delay of a refused caller: the reason for the refusal doesn't change any
+/// sooner.
 const SOONEST_RETURN: Millis = Millis(120);
-/// The latest: a caller that comes back later gets its answer too late anyway, and what is foreseen
-/// for longer is a guess.
+/// The maximum retry delay: a caller that retries later gets its answer too late in any case, and
+/// an estimate for a longer time is unreliable.
 const LATEST_RETURN: Millis = Millis(1_500);
-/// When to come back after an entry refused what its processor can't carry; other entries take it
-/// at once.
+/// The retry delay after an entry refused a request because its own processor is overloaded; other
+/// entries can take the request at once.
 const RETRY_AFTER_BUSY: Millis = Millis(50);
-/// When to come back after a refusal because no upstream is there: restarts take seconds.
+/// The retry delay if no upstream is available: restarts take seconds.
 const RETRY_AFTER_NOBODY: Millis = Millis(1_000);
 
-/// A request that waits.
+/// A request that waits for capacity.
 #[derive(Clone, Debug)]
 pub(super) struct Waiting {
     pub(super) demand: Demand,
     standing: Standing,
-    /// Until when it may wait.
+    /// The time until which the request may wait.
     until: Millis,
 }
 
 impl Traffic {
-    /// Decides about a request; `None` if it waits.
+    /// Starts or refuses a request, or puts it in the queue and returns `None`.
     pub fn admit(&mut self, now: Millis, demand: Demand) -> Option<Verdict> {
         let work = demand.work();
         self.refresh_shares(now);
         let standing = match demand.prompt.is_empty() {
-            // Shares are counted in tokens; plain requests take none.
+            // Shares are counted in tokens, and plain requests use none.
             true => Standing::Within,
             false => self.shares.standing(now, &demand.organisation, work),
         };
@@ -73,11 +77,12 @@
         }
     }
 
-    /// Counts a request that is refused before it is decided about, for want of this entry's
-    /// processor time, and returns when its caller is to come back.
+    /// Counts a request that is refused before admission because this entry's processor is
+    /// overloaded, and returns the caller's retry delay.
     ///
-    /// It counts as asked for and refused. Uncounted, an organisation whose callers all come by one
-    /// busy entry would seem to ask for little, and hold back nobody that takes its share elsewhere.
+    /// The request counts as asked for and refused. If it weren't counted, an organisation whose
+    /// callers all use one busy entry would seem to ask for little, and would not limit the
+    /// organisations that take its share at other entries.
     pub fn turn_away(&mut self, now: Millis, demand: &Demand) -> Millis {
         let work = demand.work();
         self.shares.on_asked(now, &demand.organisation, work);
@@ -90,7 +95,7 @@
         self.shares.refresh(now, capacity, self.others.told());
     }
 
-    /// Starts a request if there is room for one of its standing.
+    /// Starts a request if there is capacity for one of its standing.
     fn start(
         &mut self,
         now: Millis,
@@ -99,7 +104,8 @@
     ) -> Result<Verdict, NoPlace> {
         let terms = match standing {
             Standing::Within => Terms { budget: 1.0, may_read_again: true },
-            // Capacity is not spare where using it takes reading what another engine keeps.
+            // Capacity that would require re-reading a part cached by another engine doesn't count
+            // as spare.
             Standing::Fair => Terms { budget: BUDGET_FAIR, may_read_again: false },
             Standing::Beyond => return Err(NoPlace::Full),
         };
@@ -108,7 +114,8 @@
         Ok(granted.map_or(refuse(Code::NoUpstream, RETRY_AFTER_NOBODY), Verdict::Start))
     }
 
-    /// Refuses a request for want of room or of a share, until there is some.
+    /// Refuses a request for lack of capacity or because its organisation is over its share, with
+    /// the time until that is expected to change.
     fn refuse_for_now(&mut self, now: Millis, code: Code, demand: &Demand) -> Verdict {
         self.shares.on_refused(now, &demand.organisation, demand.work());
         let room_in = match code {
@@ -125,12 +132,13 @@
         self.waiting.push(Waiting { demand, standing, until });
     }
 
-    /// Forgets a request that waits: its caller left.
+    /// Removes a waiting request whose caller has left.
     pub fn forget(&mut self, no: RequestNo) {
         self.waiting.retain(|waiting| waiting.demand.no != no);
     }
 
-    /// Starts requests that wait, as far as there is room, and refuses those that waited too long.
+    /// Starts waiting requests as far as there is capacity, and refuses those that have waited too
+    /// long.
     pub fn poll(&mut self, now: Millis, out: &mut Vec<(RequestNo, Verdict)>) {
         if self.waiting.is_empty() || now.since(self.polled) < MIN_POLL_INTERVAL {
             return;
