--- a/src/kingcupgrade/coordination/traffic/shares.rs
+++ b/src/kingcupgrade/coordination/traffic/shares.rs
@@ -1,119 +1,124 @@
-//! Fair shares of organisations: who may take what while capacity is short.
+//! Fair shares of the capacity, by organisation.
 //!
-//! Shares are max-min: an organisation that asks for less than an even part gets all of it, and
-//! what it leaves is shared by those that ask for more. They are counted in tokens, over a span of
-//! a few seconds, by all entries together: each tells the others what its callers asked for and
-//! what they were given.
+//! Shares are max-min fair: an organisation that asks for less than an even share gets all that it
+//! asks for, and what it leaves is divided among those that ask for more. Shares are counted in
+//! tokens, with a time constant of a few seconds, over all entries: each entry tells the others
+//! what its callers asked for and what they were given.
 
 use std::collections::BTreeMap;
 
 use super::{fading::Fading, others::Told};
 use crate::core::{Millis, Organisation};
 
-/// The span over which asking and getting are counted. Longer lets an organisation that was quiet
-/// take everything for longer; shorter refuses what a moment later would fit.
+/// The time constant of the sums of tokens asked for and served. A longer one lets an organisation
+/// that was idle take all capacity for longer; a shorter one refuses requests that would fit a
+/// moment later.
 pub const SHARE_SPAN: Millis = Millis(2_500);
-/// How often the levels are worked out: as often as reports arrive.
+/// The interval at which the levels are recomputed: as often as reports arrive.
 const REFRESH: Millis = Millis(100);
-/// An organisation gets at most this many times what the backlogged one that got least does,
-/// beyond its promised share. Above 1, so that they can rise together; the gap between any two
-/// stays below it.
+/// Beyond its promised share, an organisation gets at most this many times what the backlogged
+/// organisation that got least has got. Above 1, so that both can rise together; the ratio of any
+/// two stays below it.
 const GAP: f64 = 1.2;
-/// What is served may be this many times what was served of late: with upstreams lost, the promised
-/// capacity is not there, and an even share of it would let whoever comes first take all. Above 1,
-/// so that the level rises again once they are back.
+/// The capacity that is assumed for even shares, as a multiple of what was served recently. When
+/// upstreams are lost, the promised capacity is not there, and an even share of it would let
+/// whoever comes first take everything. Above 1, so that the level rises again once the upstreams
+/// are back.
 const GROWTH: f64 = 1.15;
-/// The span over which refusals are counted: an organisation that was refused before it, and is
-/// served now, holds nobody back.
+/// The time constant of the sums of refused tokens: an organisation whose refusals are older than
+/// this, and that is served now, doesn't limit the others.
 const REFUSED_SPAN: Millis = Millis(500);
-/// An organisation is backlogged if it asked for this many times what it got, and for more than
-/// its promised share, and is refused now. One that gets most of what it asks for holds nobody
-/// back: a request of it may be refused for its size alone.
+/// An organisation is backlogged if it asked for more than this many times what it got, asked for
+/// more than its promised share, and is being refused now. An organisation that gets most of what
+/// it asks for doesn't limit the others: a request of it may be refused for its size alone.
 const BACKLOG: f64 = 1.5;
-/// It is refused now if this part of what it asks for is.
+/// An organisation is being refused if more than this fraction of what it asks for is refused.
 const REFUSED_PART: f64 = 0.1;
 
-/// Where an organisation stands with one more request.
+/// The standing of an organisation if it were given one more request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// Within its share of the capacity that is promised.
+    /// Within its share of the promised capacity, or of the capacity that is really served if that
+    /// is less.
     Within,
-    /// Beyond that, and not far ahead of the backlogged organisation that got least.
+    /// Beyond that share, but not far ahead of the backlogged organisation that got least.
     Fair,
-    /// Beyond both.
+    /// Beyond its share and far ahead of the backlogged organisation that got least.
     Beyond,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    /// Asked of all entries in the span, in tokens.
+    /// Tokens asked of all entries.
     asked: f64,
-    /// Served by the other entries, in tokens, as last told.
+    /// Tokens served by the other entries, as last reported.
     served_elsewhere: f64,
-    /// How much is asked of the other entries for each token asked of this one.
+    /// Tokens asked of the other entries for each token asked of this one.
     asked_elsewhere: f64,
-    /// Refused by all entries a moment ago, in tokens.
+    /// Tokens refused by all entries.
     refused: f64,
 }
 
 impl Counts {
-    /// Tells whether a part worth counting of what is asked for now is refused.
+    /// Returns whether a considerable fraction of what is asked for is being refused.
     fn is_refused(&self) -> bool {
         let asked = self.asked * REFUSED_SPAN.0 as f64 / SHARE_SPAN.0 as f64;
         self.refused > asked * REFUSED_PART
     }
 }
 
-/// What one entry knows of all organisations' asking and getting.
+/// The demand and usage of all organisations, as one entry knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     asked: BTreeMap<Organisation, Fading>,
     served: BTreeMap<Organisation, Fading>,
-    /// What all entries served while it was spare, beyond the level of then.
+    /// What all entries served beyond the promised level while no organisation was backlogged.
     spare: BTreeMap<Organisation, Fading>,
-    /// What was served here in about the time that the others' sums are old.
+    /// What this entry served recently, with the age of the other entries' reports as time
+    /// constant.
     served_lately: BTreeMap<Organisation, Fading>,
     refused: BTreeMap<Organisation, Fading>,
-    /// How many other entries there are.
+    /// The number of other entries.
     others: usize,
-    /// How old their sums are.
+    /// The age of their reports.
     age: Millis,
     counts: BTreeMap<Organisation, Counts>,
-    /// The most that one organisation gets of the capacity that is promised, in the span.
+    /// The max-min level of the promised capacity, in tokens per time constant.
     promised_level: f64,
-    /// The most that one organisation gets of what is really served, where that is less than
-    /// promised, in the span.
+    /// The max-min level of the capacity that is really served, at most the promised level, in
+    /// tokens per time constant.
     even_level: f64,
-    /// The most that one organisation gets of what is served beyond that, in the span.
+    /// The level up to which an organisation gets capacity beyond its share, in tokens per time
+    /// constant.
     spare_level: f64,
     refreshed: Option<Millis>,
 }
 
 impl Shares {
-    /// Counts what a request asks for.
+    /// Adds the work that a request asks for.
     pub fn on_asked(&mut self, now: Millis, organisation: &Organisation, work: f64) {
         count(&mut self.asked, now, organisation, work, SHARE_SPAN);
     }
 
-    /// Counts what is refused for want of room or of a share.
+    /// Adds work that is refused for lack of capacity or of a share.
     pub fn on_refused(&mut self, now: Millis, organisation: &Organisation, work: f64) {
         count(&mut self.refused, now, organisation, work, REFUSED_SPAN);
     }
 
-    /// Counts what a request is given; negative where it took less than was counted before.
+    /// Adds work that is served; negative to correct an earlier estimate that was too high.
     pub fn on_served(&mut self, now: Millis, organisation: &Organisation, work: f64) {
         count(&mut self.served, now, organisation, work, SHARE_SPAN);
         count(&mut self.served_lately, now, organisation, work, self.age);
     }
 
-    /// Sets how many other entries there are, and how old their sums are.
+    /// Sets the number of other entries and the age of their reports.
     pub fn set_others(&mut self, count: usize, age: Millis) {
         self.others = count;
         self.age = age;
     }
 
-    /// Works the levels out again if that is due. `capacity` is what is promised, in tokens a
-    /// second; 0 if nothing is.
+    /// Recomputes the levels if that is due. `capacity` is the promised capacity, in tokens per
+    /// second; 0 if none is promised.
     pub fn refresh(&mut self, now: Millis, capacity: f64, others: &BTreeMap<Organisation, Told>) {
         if self.refreshed.is_some_and(|at| now.since(at) < REFRESH) {
             return;
@@ -127,7 +132,8 @@
         for (organisation, told) in others {
             let counts = self.counts.entry(organisation.clone()).or_default();
             let elsewhere = told.asked.max(0.0) / counts.asked.max(1.0);
-            // One request at an entry that is asked for little says little of the others.
+            // The ratio is capped: if little is asked of this entry, one request says little about
+            // the other entries.
             counts.asked_elsewhere = elsewhere.min(self.others as f64);
             counts.asked += told.asked;
             counts.served_elsewhere += told.served;
@@ -160,9 +166,10 @@
         }
     }
 
-    /// Counts as spare what organisations got beyond the level while nobody is backlogged.
+    /// Counts as spare what organisations got beyond the promised level while none is backlogged.
     ///
-    /// Held against them, it would keep them from their share for seconds once others are.
+    /// If it were charged to them, it would keep them from their share for seconds once others are
+    /// backlogged.
     fn set_spare(&mut self, now: Millis) {
         self.spare.clear();
         for (organisation, counts) in &self.counts {
@@ -173,17 +180,18 @@
         }
     }
 
-    /// Tells where an organisation stands with one more request.
+    /// Returns the standing of an organisation if it were given a request of `work`.
     pub fn standing(&self, now: Millis, organisation: &Organisation, work: f64) -> Standing {
         let Some(counts) = self.counts.get(organisation) else { return Standing::Within };
         let before = self.charged(now, organisation, counts)
             + self.served_elsewhere_since(now, organisation, counts);
-        // Half of the request, so that one larger than a share is not shut out for good.
+        // Half of the request counts, so that a request larger than a share isn't refused forever.
         let served = before + work / 2.0;
         if counts.asked <= self.even_level || served <= self.even_level {
             return Standing::Within;
         }
-        // Without the request itself: the one that got least is never held back for its size.
+        // The request itself doesn't count: the organisation that got least is never refused for
+        // the size of a request.
         if counts.asked <= self.promised_level || before <= self.spare_level {
             Standing::Fair
         } else {
@@ -191,8 +199,8 @@
         }
     }
 
-    /// Returns how long it takes until an organisation beyond its share has room in it again, if it
-    /// gets nothing meanwhile.
+    /// Returns the time until an organisation that is over its share may be served again, if it
+    /// gets nothing until then.
     pub fn room_in(&self, now: Millis, organisation: &Organisation) -> Millis {
         let Some(counts) = self.counts.get(organisation) else { return Millis::ZERO };
         let charged = self.charged(now, organisation, counts);
@@ -201,23 +209,24 @@
         Millis((spans * SHARE_SPAN.0 as f64) as u64)
     }
 
-    /// Returns what an organisation was given by all entries in the span, in tokens, without what
-    /// was spare.
+    /// Returns the tokens served to an organisation by all entries, without what was spare.
     fn charged(&self, now: Millis, organisation: &Organisation, counts: &Counts) -> f64 {
         let spare = self.spare.get(organisation).map_or(0.0, |spare| spare.get(now, SHARE_SPAN));
         (self.served_in_all(now, organisation, counts) - spare).max(0.0)
     }
 
-    /// Returns what an organisation was given by all entries in the span, in tokens.
+    /// Returns the tokens served to an organisation by all entries.
     fn served_in_all(&self, now: Millis, organisation: &Organisation, counts: &Counts) -> f64 {
         counts.served_elsewhere + self.own(now, organisation)
     }
 
-    /// Returns what the other entries gave an organisation since they told of it, as far as they do
-    /// as this one does, in tokens.
+    /// Estimates the tokens that the other entries served to an organisation since their last
+    /// report, on the assumption that they serve it as this entry does, in proportion to what they
+    /// are asked for.
     ///
-    /// All entries know the same old sums. Without it all of them would find room in a share at the
-    /// same moment, and until they hear of each other give all that is asked of them.
+    /// All entries know the same outdated sums. Without the estimate all of them would find
+    /// capacity in a share at the same moment, and would serve everything asked of them until they
+    /// hear of each other.
     fn served_elsewhere_since(
         &self,
         now: Millis,
@@ -229,22 +238,22 @@
         own * counts.asked_elsewhere
     }
 
-    /// Returns what an organisation was given by this entry in the span, in tokens.
+    /// Returns the tokens served to an organisation by this entry.
     fn own(&self, now: Millis, organisation: &Organisation) -> f64 {
         self.served.get(organisation).map_or(0.0, |served| served.get(now, SHARE_SPAN))
     }
 
-    /// Returns what all organisations asked for here of late, in tokens.
+    /// Returns the tokens that each organisation recently asked of this entry.
     pub fn asked(&self, now: Millis) -> Vec<(Organisation, f32)> {
         told(&self.asked, now, SHARE_SPAN)
     }
 
-    /// Returns what all organisations were given here of late, in tokens.
+    /// Returns the tokens that this entry recently served to each organisation.
     pub fn served(&self, now: Millis) -> Vec<(Organisation, f32)> {
         told(&self.served, now, SHARE_SPAN)
     }
 
-    /// Returns what was refused to all organisations here a moment ago, in tokens.
+    /// Returns the tokens that this entry recently refused to each organisation.
     pub fn refused(&self, now: Millis) -> Vec<(Organisation, f32)> {
         told(&self.refused, now, REFUSED_SPAN)
     }
@@ -278,8 +287,8 @@
     now_counts.filter(|(_, count)| *count >= 1.0).collect()
 }
 
-/// Returns the level up to which everybody gets what they ask for, so that all together get
-/// `capacity`; without bound if they ask for less.
+/// Returns the max-min level: the amount up to which each demand is met so that all together get
+/// `capacity`; infinite if they ask for less than that.
 fn max_min_level(mut asked: Vec<f64>, capacity: f64) -> f64 {
     asked.sort_by(f64::total_cmp);
     let mut left = capacity;
