--- a/src/kingcupgrade/coordination/traffic/upstream.rs
+++ b/src/kingcupgrade/coordination/traffic/upstream.rs
@@ -1,4 +1,4 @@
-//! What an entry believes of one upstream.
+//! The state of one upstream as an entry knows it.
 
 use std::collections::HashMap;
 
@@ -8,26 +8,29 @@
     protocol::fleet::{ListedUpstream, Load},
 };
 
-/// A part not used for this long is not counted on, though the engine may keep it.
+/// A prompt part that was not used for this long is assumed to be evicted, though the engine may
+/// still cache it.
 const KEPT_SPAN: Millis = Millis(30_000);
-/// Parts remembered for one upstream.
+/// The limit of prompt parts that are remembered for one upstream.
 const MAX_KEPT: usize = 4_000;
-/// A report on an answer older than this says nothing any more: plain requests take some ten
-/// milliseconds, and an upstream that was full once would look so until its next answer.
+/// A load report on an answer is ignored after this long: plain requests take some ten
+/// milliseconds, and an upstream that was full once would look full until its next answer.
 const REPORT_SPAN: Millis = Millis(50);
 
-/// A part in use is told of again after this long: entries start anew and know nothing.
+/// A part in use is announced again after this long, for entries that have restarted and know
+/// nothing.
 const TELL_AGAIN: Millis = Millis(10_000);
 
-/// A part of a prompt that an upstream keeps.
+/// A part of a prompt that an upstream has cached.
 #[derive(Clone, Copy, Debug)]
 struct Kept {
     used: Millis,
-    /// When the fleet was last told of it; `None` for what no other request shares.
+    /// When the part was last announced to the other entries; `None` if never, as for parts that no
+    /// other request shares.
     told: Option<Millis>,
 }
 
-/// Requests a second to a cold upstream, in small steps.
+/// A token bucket of at most one token that limits the request rate to a cold upstream.
 #[derive(Clone, Debug, Default)]
 struct ColdMeter {
     tokens: f64,
@@ -40,31 +43,31 @@
     }
 }
 
-/// The beliefs about one upstream.
+/// The state of one upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// As the platform lists it.
+    /// The upstream as the platform lists it.
     pub listed: ListedUpstream,
-    /// Whether the platform listed it as leaving.
+    /// Whether the platform has listed it as not ready since it started.
     is_leaving: bool,
-    /// Until when it is cold.
+    /// The time until which the upstream is cold.
     pub cold_until: Millis,
-    /// What this entry has under way there.
+    /// The load of this entry's requests.
     pub own: Load,
-    /// What the other entries have under way there.
+    /// The load of the other entries' requests.
     pub others: Load,
-    /// Prompts of this entry that it has not read.
+    /// This entry's prompts that the upstream has not read.
     pub backlog: Backlog,
-    /// Whether it fails.
+    /// The upstream's health.
     pub health: Health,
     meter: ColdMeter,
-    /// Running and waiting as the upstream last said, and when.
+    /// The running and waiting requests that the upstream last reported, and when it did.
     reported: Option<(u32, u32, Millis)>,
     kept: HashMap<u64, Kept>,
 }
 
 impl Upstream {
-    /// Makes the beliefs about an upstream that was just listed.
+    /// Creates the state of a newly listed upstream.
     pub fn new(now: Millis, listed: ListedUpstream) -> Upstream {
         Upstream {
             cold_until: now + listed.cold,
@@ -80,7 +83,8 @@
         }
     }
 
-    /// Takes in a newer listing; an upstream that started anew knows nothing of before.
+    /// Applies a newer listing. If the upstream has restarted since, its cache, health and reported
+    /// load are reset.
     pub fn relist(&mut self, now: Millis, listed: ListedUpstream) {
         let is_reborn = listed.born != self.listed.born || listed.address != self.listed.address;
         if is_reborn {
@@ -94,20 +98,20 @@
             }
             self.cold_until = now + listed.cold;
         }
-        // An upstream that leaves does not come back without a new start; a list that says so was
-        // held up on its way, and what is sent after it would be cut off.
+        // An upstream that leaves doesn't become ready again without a restart. A list that shows
+        // it as ready was delayed, and requests sent on its account would be cut off.
         let has_left = !is_reborn && self.is_leaving;
         self.is_leaving = has_left || !listed.is_ready;
         self.listed = listed;
         self.listed.is_ready &= !has_left;
     }
 
-    /// Tells whether the upstream is cold.
+    /// Returns whether the upstream is cold.
     pub fn is_cold(&self, now: Millis) -> bool {
         now < self.cold_until
     }
 
-    /// Returns the requests under way there by all entries, as far as known.
+    /// Returns the number of requests of all entries under way at the upstream, as far as known.
     pub fn running(&self, now: Millis) -> u32 {
         let known = self.own.running + self.others.running;
         match self.reported {
@@ -118,8 +122,8 @@
         }
     }
 
-    /// Lets it read prompts until now, at a rate in tokens a millisecond that it shares between the
-    /// entries.
+    /// Advances the estimate of unread prompts; the read rate, in tokens per millisecond, is
+    /// divided between the entries in proportion to their unread prompts.
     pub fn let_read(&mut self, now: Millis, rate: f64) {
         let own = self.backlog.tokens() as f64;
         let part = own / (own + self.others.unread as f64).max(1.0);
@@ -127,35 +131,36 @@
         self.own.unread = self.backlog.tokens();
     }
 
-    /// Returns the prompt tokens unread there, as far as known.
+    /// Returns the number of unread prompt tokens, as far as known.
     pub fn unread(&self) -> u64 {
         self.own.unread + self.others.unread
     }
 
-    /// Returns the memory in use at the end of all requests under way, in tokens.
+    /// Returns the memory that all requests under way will use at their end, in tokens.
     pub fn memory(&self) -> u64 {
         self.own.memory + self.others.memory
     }
 
-    /// Notes what the upstream says of its load on an answer.
+    /// Records the load that the upstream reported on an answer.
     pub fn on_report(&mut self, now: Millis, running: u32, waiting: u32) {
         self.reported = Some((running, waiting, now));
     }
 
-    /// Tells whether requests waited at the upstream when it last answered.
+    /// Returns whether requests were waiting at the upstream when it last answered.
     pub fn has_waiting(&self, now: Millis) -> bool {
         self.reported.is_some_and(|(_, waiting, at)| waiting > 0 && now.since(at) <= REPORT_SPAN)
     }
 
-    /// Returns the tokens of a prompt that the upstream has to read: those from the first part on
-    /// that it doesn't keep.
+    /// Returns the number of prompt tokens that the upstream has to read: all from the first part
+    /// on that it has not cached.
     pub fn unread_of(&self, now: Millis, demand: &Demand) -> u64 {
         let is_kept = |id: u64| self.kept.get(&id).is_some_and(|kept| kept.counts(now));
         let unread = demand.prompt.iter().skip_while(|part| is_kept(part.id));
         unread.map(|part| u64::from(part.tokens)).sum()
     }
 
-    /// Notes that a prompt is read there; returns the shared parts that the fleet is to be told of.
+    /// Records that the upstream caches a prompt; returns the shared parts that are to be announced
+    /// to the other entries.
     pub fn keep(&mut self, now: Millis, demand: &Demand) -> Vec<u64> {
         self.forget_unused(now);
         let mut news = Vec::new();
@@ -172,7 +177,7 @@
         news
     }
 
-    /// Notes parts that another entry told to be kept there.
+    /// Records cached parts that another entry announced.
     pub fn on_kept(&mut self, now: Millis, parts: &[u64]) {
         self.forget_unused(now);
         for id in parts {
@@ -189,14 +194,14 @@
         }
     }
 
-    /// Tells whether a cold upstream bears one more request of this entry, given its part of the
-    /// rate in requests a second.
+    /// Returns whether this entry may send one more request to a cold upstream; `rate` is its share
+    /// of the rate, in requests per second.
     pub fn has_cold_room(&mut self, now: Millis, rate: f64) -> bool {
         self.refill(now, rate);
         self.meter.tokens >= 1.0
     }
 
-    /// Spends a cold upstream's room.
+    /// Takes a token for a request to a cold upstream.
     pub fn spend_cold(&mut self, now: Millis, rate: f64) {
         self.refill(now, rate);
         self.meter.tokens -= 1.0;
