--- a/src/kingcupgrade/coordination/traffic/verdict.rs
+++ b/src/kingcupgrade/coordination/traffic/verdict.rs
@@ -1,4 +1,4 @@
-//! What is decided about a request, and what became of it.
+//! Admission decisions, and how requests that were sent ended.
 
 use std::net::SocketAddr;
 
@@ -6,49 +6,49 @@
 
 use crate::core::{Code, Millis, UpstreamName};
 
-/// Leave to send a request to an upstream.
+/// Permission to send a request to an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grant {
-    /// The upstream.
+    /// The selected upstream.
     pub upstream: UpstreamName,
-    /// Where it listens.
+    /// The address that the upstream listens on.
     pub address: SocketAddr,
-    /// Connections that this entry may have open to it.
+    /// The number of connections that this entry may have open to the upstream.
     pub max_connections: usize,
-    /// What it was decided on.
+    /// The state of the upstream on which the decision was based, for the log.
     pub basis: Basis,
 }
 
-/// What was believed of an upstream when a request was given to it.
+/// The known state of an upstream when a request was placed on it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Basis {
-    /// Requests under way there, by this entry and by all others as last told.
+    /// Requests under way there: those of this entry, and those of all others as last reported.
     pub running: (u32, u32),
-    /// Prompt tokens unread there, without this request's.
+    /// Unread prompt tokens there, without this request's.
     pub unread: u64,
-    /// Prompt tokens of this request that are not kept there.
+    /// Prompt tokens of this request that the upstream has not cached.
     pub to_read: u64,
-    /// Tokens in memory there at the end of all that is under way.
+    /// The memory that all requests under way there will use at their end, in tokens.
     pub memory: u64,
-    /// The share of requests that failed there of late.
+    /// The upstream's failure rate.
     pub failures: f64,
-    /// Whether it is cold.
+    /// Whether the upstream is cold.
     pub is_cold: bool,
-    /// After how long its first event was expected, in milliseconds; 0 from a plain upstream, where
-    /// nothing is expected.
+    /// The expected time to the first event, in milliseconds; 0 for a plain upstream, for which
+    /// there is no estimate.
     pub expected_ms: u64,
 }
 
-/// What is decided about a request.
+/// The admission decision about a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Send it.
+    /// The request is sent to an upstream.
     Start(Grant),
-    /// Give it up; it has not run.
+    /// The request is refused and has not run.
     Refuse {
-        /// Why.
+        /// The reason.
         code: Code,
-        /// When to come back.
+        /// The delay after which the caller may retry.
         retry_after: Millis,
     },
 }
@@ -58,22 +58,22 @@
 pub enum SendEnd {
     /// The upstream answered.
     Answered,
-    /// The upstream answered that it failed.
+    /// The upstream answered with a failure.
     Failed,
-    /// The answer broke off or was not one, or none came.
+    /// The answer broke off or was invalid, or none came.
     Broken,
-    /// No connection could be made.
+    /// No connection could be made to send the request on.
     Unreachable,
-    /// The upstream refused it before it ran: it is full.
+    /// The upstream was full and refused the request before it ran.
     Rejected,
-    /// Another upstream has the address.
+    /// Another upstream now has the address.
     Replaced,
-    /// The caller left.
+    /// The request was given up here, as when its caller left.
     Cancelled,
 }
 
 impl SendEnd {
-    /// Returns the word used in metrics.
+    /// Returns the label used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             SendEnd::Answered => "answered",
