--- a/src/kingcupgrade/coordination/fleet/io.rs
+++ b/src/kingcupgrade/coordination/fleet/io.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of one instance.
+//! The inputs and outputs of an instance's state machine.
 
 use serde::Serialize;
 
@@ -13,92 +13,96 @@
     state::log::Persist,
 };
 
-/// Names an operator's request that waits for an answer.
+/// Identifies an operator's request that waits for an answer.
 pub type Ticket = u64;
 
-/// Something that happened.
+/// An event for the state machine to handle.
 #[derive(Debug)]
 pub enum FleetInput {
-    /// A message arrived.
+    /// A message arrived from another instance.
     Received(Instance, Message),
-    /// An operator asks for a change or an answer of the record, for as long as given.
+    /// An operator sends a command to change or query the record, and waits for the reply for at
+    /// most the given time.
     Asked(Ticket, Command, Millis),
-    /// This entry's load is to be told to the others.
+    /// This entry's load report is to be sent to the other entries.
     Share(LoadReport),
-    /// The platform's list was read here for others.
+    /// This entry read the platform's list of upstreams; the change is to be sent to the entries
+    /// that its duty covers.
     ShareListing(ListingNews, ListingDuty),
-    /// The platform's list is not known here; asked is who told of a change in it, or who may know.
+    /// The platform's list of upstreams, or the one that a change builds on, is not known here and
+    /// is to be requested: from the given instance, or from the entries that may know it.
     WantListing(Option<Instance>),
-    /// An entry that wants the platform's list is told.
+    /// The platform's list of upstreams is to be sent to an entry that requested it.
     TellListing(Instance, ListingNews),
-    /// The disk failed.
+    /// Writing to the disk failed.
     StorageFailed(CodedError),
-    /// The disk works again and holds this replica.
+    /// The disk works again; the replica was opened anew from it.
     StorageBack(Box<ControlMachine>),
-    /// The settings name other control instances.
+    /// The control instances named by the settings changed.
     SeedsChanged(Vec<Instance>),
-    /// The instance is to stop.
+    /// The instance is shutting down.
     Drain,
-    /// Time has passed.
+    /// Time has passed; sent at a regular interval.
     Tick,
 }
 
-/// Something to do, in this order.
+/// An action for the caller of the state machine, to be carried out in order.
 #[derive(Debug)]
 pub enum FleetOutput {
-    /// Write to disk, synced before any later output is carried out.
+    /// Write to disk, and sync before any later output is carried out.
     Persist(Persist),
     /// Send a message.
     Send(Instance, Message),
     /// Send the same message to several instances.
     SendToAll(Vec<Instance>, Message),
-    /// Answer an operator.
+    /// Reply to an operator.
     Answer(Ticket, Reply),
-    /// The configuration or the standing of a failure domain changed.
+    /// The configuration or the state of a failure domain changed.
     ViewChanged,
-    /// The entries of the fleet are these.
+    /// The entries or control instances of the fleet changed; these are the entries.
     Entries(Vec<Resident>),
-    /// Another entry told of its load.
+    /// Another entry's load report arrived.
     Heard(Instance, LoadReport),
-    /// Another entry tells what it knows of the platform's list.
+    /// A change of the platform's list of upstreams, or the whole list, arrived from another entry.
     Listed(Instance, ListingNews),
-    /// Another entry wants the platform's list.
+    /// Another entry requested the platform's list of upstreams.
     ListingWanted(Instance),
-    /// Whom this instance asks for the configuration, or whether it is confirmed, changed.
+    /// The control instance that is asked for the configuration changed, or whether the
+    /// configuration is confirmed.
     SourceChanged(ConfigurationSource),
-    /// The part of this control instance in the record changed.
+    /// This control instance's state in the consensus on the record changed.
     StandingChanged(RecordStanding),
-    /// Another process runs in place of the one that was heard as this instance.
+    /// An instance was seen to run in a new process.
     Restarted {
-        /// The instance.
+        /// The instance that restarted.
         instance: Instance,
-        /// How often that was seen here.
+        /// The number of its restarts that were seen here.
         restarts: u32,
     },
 }
 
-/// On whose word an instance goes by its configuration.
+/// Where an instance's configuration comes from, for the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ConfigurationSource {
-    /// The control instance that is asked.
+    /// The control instance that is asked for the configuration.
     pub asks: Option<Instance>,
-    /// Whether the configuration was confirmed to be the newest of late.
+    /// Whether the configuration was recently confirmed to be the newest.
     pub is_fresh: bool,
-    /// The place in the record of the last change known.
+    /// The index in the record of the last known change.
     pub index: u64,
-    /// How long ago it was last confirmed to be the newest; `None` if never.
+    /// The time since the configuration was last confirmed to be the newest; `None` if never.
     pub confirmed_ms: Option<Millis>,
 }
 
-/// The part of a control instance in the record.
+/// A control instance's state in the consensus on the record, for the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RecordStanding {
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// Whom it follows; itself if it leads.
+    /// The leader that it follows; itself if it leads; `None` if none is known.
     pub leader: Option<Instance>,
-    /// Whether it tells others that what it has is the newest.
+    /// Whether it can confirm that its configuration is the newest.
     pub confirms: bool,
-    /// The last entry that is final here.
+    /// The index of the last entry that is known to be committed.
     pub commit: u64,
 }
