--- a/src/kingcupgrade/coordination/fleet/joining.rs
+++ b/src/kingcupgrade/coordination/fleet/joining.rs
@@ -1,4 +1,5 @@
-//! Finding the others: an instance says that it is there, and is told who else is.
+//! Discovery: an instance announces itself to the control instances, and they answer with the
+//! roster of the fleet.
 
 use super::{
     FleetNode, FleetOutput,
@@ -12,14 +13,14 @@
     },
 };
 
-/// How often an instance says that it is there.
+/// The interval at which an instance announces itself.
 const JOIN_INTERVAL: Millis = Millis(1_000);
-/// How often it says so while it knows nobody: at a common start most of the others don't listen
-/// yet.
+/// The same interval while it knows no entry: when a whole fleet starts, most of the others don't
+/// listen yet.
 const FIRST_JOIN_INTERVAL: Millis = Millis(200);
 
 impl FleetNode {
-    /// Says to all control instances that this instance is there.
+    /// Announces this instance to all control instances.
     pub(super) fn join(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<FleetOutput>) {
         let started = *self.started.get_or_insert(unix_ms);
         let is_alone = self.roster.entries().is_empty();
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Takes in that an instance is there; a control instance tells if it is another process.
+    /// Records the announcement of an instance. A control instance reports if it runs in a new
+    /// process.
     pub(super) fn on_join(
         &mut self,
         now: Millis,
@@ -52,7 +54,8 @@
         }
     }
 
-    /// Tells who is there, to an instance that knows the roster of a number.
+    /// Answers an announcement with the roster, or with its number alone if the instance knows it
+    /// already.
     pub(super) fn answer_join(
         &mut self,
         unix_ms: u64,
