--- a/src/kingcupgrade/coordination/fleet/listing.rs
+++ b/src/kingcupgrade/coordination/fleet/listing.rs
@@ -1,4 +1,4 @@
-//! Telling other entries what the platform lists.
+//! Distribution of the platform's list of upstreams among the entries.
 
 use super::{FleetNode, FleetOutput};
 use crate::{
@@ -11,7 +11,7 @@
 };
 
 impl FleetNode {
-    /// Tells those for whom this entry reads.
+    /// Sends a change of the list to the entries that this entry reads it for.
     pub(super) fn share_listing(
         &mut self,
         news: ListingNews,
@@ -26,7 +26,7 @@
         out.push(FleetOutput::SendToAll(hearers, Message::Fleet(FleetMessage::Listing(news))));
     }
 
-    /// Asks one entry for the whole list, or those that may know it.
+    /// Requests the whole list from one entry, or from all that may know it.
     pub(super) fn want_listing(&mut self, from: Option<Instance>, out: &mut Vec<FleetOutput>) {
         let asked = from.map_or_else(|| self.listing_readers(), |from| vec![from]);
         out.push(FleetOutput::SendToAll(asked, Message::Fleet(FleetMessage::ListingWanted)));
@@ -37,7 +37,7 @@
         Neighbours { fleet: &fleet, domain: &domain }.readers()
     }
 
-    /// Lists the other entries of this failure domain.
+    /// Returns the other entries of this failure domain.
     fn domain_neighbours(&self) -> Vec<Instance> {
         let own = &self.settings.failure_domain;
         let entries = self.roster.entries().into_iter();
