--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -1,9 +1,10 @@
-//! One instance of a fleet that finds itself: membership, the record, and what entries tell each
-//! other.
+//! One instance of a fleet with automatic discovery: membership, the record of the configuration,
+//! and the exchange of load reports between entries.
 //!
-//! The machine serves both roles. An entry pulls the configuration and spreads its load; a control
-//! instance keeps a replica of the record besides and lists the fleet. Neither is told who the
-//! others are: they join the control instances they know, and learn the rest.
+//! The state machine serves both roles. An entry pulls the configuration and shares its load; a
+//! control instance also keeps a replica of the record and the roster of the fleet. No instance is
+//! configured with the whole fleet: each announces itself to the control instances that it knows,
+//! and learns of the others from them.
 
 mod io;
 mod joining;
@@ -53,7 +54,7 @@
     }
 }
 
-/// The state of one instance.
+/// The state machine of one instance.
 #[derive(Debug)]
 pub struct FleetNode {
     settings: Arc<FleetSettings>,
@@ -67,7 +68,7 @@
     /// Messages from this instance to itself.
     own: VecDeque<Message>,
     next_join: Millis,
-    /// The wall clock when this process first said that it is there.
+    /// The wall clock when this process first announced itself, in milliseconds since 1970.
     started: Option<u64>,
     told_digest: u64,
     told_source: Option<ConfigurationSource>,
@@ -76,7 +77,7 @@
 }
 
 impl FleetNode {
-    /// Makes the node of an instance; `control` is its replica of the record, if it has one.
+    /// Creates the node of an instance; `control` is its replica of the record, if it has one.
     pub fn new(settings: Arc<FleetSettings>, control: Option<ControlMachine>) -> FleetNode {
         let instance = settings.instance();
         let seeds = settings.seed_instances();
@@ -105,17 +106,17 @@
         &self.view
     }
 
-    /// Returns the replica of the record, if there is one.
+    /// Returns the replica of the record, if this instance has one.
     pub fn control(&self) -> Option<&ControlMachine> {
         self.control.as_ref()
     }
 
-    /// Returns the log as it stands, for writing it anew.
+    /// Returns the current log of the replica, for rewriting it on disk.
     pub fn log(&self) -> Option<&Log> {
         self.control.as_ref().map(|control| control.consensus().log())
     }
 
-    /// Handles an input; `unix_ms` is the wall clock.
+    /// Handles an input; `unix_ms` is the wall clock in milliseconds since 1970.
     pub fn handle(
         &mut self,
         now: Millis,
@@ -154,7 +155,7 @@
         self.deliver_own(now, unix_ms, out);
     }
 
-    /// Completes a batch of inputs: sends what was gathered over it.
+    /// Completes a batch of inputs: sends the messages that were collected during it.
     pub fn flush(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<FleetOutput>) {
         self.run_control(out, |control, outputs| control.flush(now, outputs));
         let mut messages = Vec::new();
@@ -228,7 +229,7 @@
             }
             Message::Record(message) => self.on_record(now, unix_ms, from, message, out),
             Message::Fleet(message) => self.on_fleet(now, unix_ms, from, message, out),
-            // Of the other kind of fleet, whose pools have dispatchers.
+            // These belong to fleets without discovery, whose pools have dispatchers.
             Message::Lease(_) | Message::Dispatch(_) => {}
         }
     }
@@ -249,8 +250,9 @@
                 }
             }
             FleetMessage::Roster { number, entries, controls } => {
-                // A control instance lists whom it hears itself; of the others' lists it takes the
-                // control instances, to be able to reach a leader.
+                // A control instance lists only the entries that announce themselves to it. From
+                // the rosters of others it takes the control instances, so that it can reach a
+                // leader.
                 let entries = if self.control.is_some() { Vec::new() } else { entries };
                 self.roster.on_told(now, from, Told { number, entries, controls });
                 self.tell_entries(out);
