--- a/src/kingcupgrade/coordination/fleet/roster.rs
+++ b/src/kingcupgrade/coordination/fleet/roster.rs
@@ -1,11 +1,12 @@
-//! Who is in the fleet, as one instance knows it.
+//! The members of the fleet, as one instance knows them.
 //!
-//! Control instances hear everybody and tell everybody. An instance that no control instance
-//! reaches keeps the last list: neighbours that it forgot would take capacity it then counts as
-//! its own.
+//! All instances announce themselves to the control instances, which send out the roster. An
+//! instance that no control instance reaches keeps its last roster: if it forgot the other entries,
+//! it would count the capacity that they use as its own.
 //!
-//! Everybody says each second that it is there. A control instance answers with the whole list only
-//! if it has changed: told each time, it would be most of what a fleet of hundreds sends.
+//! Every instance announces itself each second. A control instance answers with the whole roster
+//! only if it has changed: sent each time, rosters would be most of the traffic between the
+//! instances of a fleet of hundreds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,25 +15,27 @@
     protocol::fleet::Resident,
 };
 
-/// An instance not heard for this long is not listed any more: several joins lost in a row.
+/// An entry that was not heard from for this long is dropped: several announcements in a row were
+/// lost.
 const ENTRY_TTL: Millis = Millis(4_000);
-/// A control instance stays listed longer, since it is told of by others too.
+/// A control instance is dropped only after this long, since others report it as well.
 const CONTROL_TTL: Millis = Millis(20_000);
-/// A process is remembered for so long after it was last heard, far longer than a restart takes.
+/// A process is remembered for this long after it was last heard from, far longer than a restart
+/// takes.
 const PROCESS_TTL: Millis = Millis(600_000);
 
-/// Who is there by the word of one control instance.
+/// The roster that one control instance sends.
 #[derive(Clone, Debug, Default)]
 pub struct Told {
-    /// Its place among those of the control instance; 0 if there is none.
+    /// Its number among the rosters of the control instance; 0 if there is none.
     pub number: u64,
-    /// Entries that it heard of late.
+    /// The entries that the control instance recently heard from.
     pub entries: Vec<Resident>,
-    /// The control instances that it knows.
+    /// The control instances that the control instance knows.
     pub controls: Vec<Instance>,
 }
 
-/// What an instance says of itself.
+/// What an instance announces of itself.
 #[derive(Clone, Debug)]
 pub struct Joined {
     /// Its failure domain.
@@ -43,7 +46,7 @@
     pub started: u64,
 }
 
-/// The process of an instance.
+/// The last known process of an instance.
 #[derive(Clone, Copy, Debug)]
 struct Process {
     started: u64,
@@ -51,35 +54,35 @@
     heard: Millis,
 }
 
-/// The instances known.
+/// The known instances of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     entries: BTreeMap<Instance, (FailureDomain, Millis)>,
     controls: BTreeMap<Instance, Millis>,
     seeds: BTreeSet<Instance>,
-    /// When a control instance last listed the fleet.
+    /// When a control instance last sent or confirmed a roster.
     listed: Option<Millis>,
-    /// What each control instance told last.
+    /// The last roster that each control instance sent.
     told: BTreeMap<Instance, Told>,
-    /// What this control instance tells.
+    /// The last roster that this control instance sent.
     own: Told,
-    /// The processes heard, also of instances that are listed no more.
+    /// The last known processes, also of instances that were dropped from the roster.
     processes: BTreeMap<Instance, Process>,
 }
 
 impl Roster {
-    /// Makes a roster of what the settings tell.
+    /// Creates a roster of the control instances that the settings name.
     pub fn new(seeds: impl IntoIterator<Item = Instance>) -> Roster {
         Roster { seeds: seeds.into_iter().collect(), ..Roster::default() }
     }
 
-    /// Replaces the control instances that the settings tell of.
+    /// Replaces the control instances that the settings name.
     pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = Instance>) {
         self.seeds = seeds.into_iter().collect();
     }
 
-    /// Notes a sign of life. Returns how often the instance was seen to have restarted, if it has
-    /// now.
+    /// Records an announcement. Returns the number of restarts of the instance that were seen, if
+    /// this is a new one.
     pub fn on_join(&mut self, now: Millis, instance: &Instance, join: &Joined) -> Option<u32> {
         match role_of(instance) {
             Some(Role::Control) => {
@@ -96,7 +99,9 @@
         self.note_start(now, instance, join.started)
     }
 
-    /// A message of an earlier process may be late, so only a later start is a restart.
+    /// Records the start of an instance's process; returns the number of restarts if this is a new
+    /// one. A message of an earlier process may arrive late, so only a later start counts as a
+    /// restart.
     fn note_start(&mut self, now: Millis, instance: &Instance, started: u64) -> Option<u32> {
         let process = self.processes.entry(instance.clone());
         let process = process.or_insert(Process { started, restarts: 0, heard: now });
@@ -109,26 +114,27 @@
         Some(process.restarts)
     }
 
-    /// Notes an entry's own word to this one; its failure domain is known from the roster.
+    /// Records a message that an entry sent to this one; its failure domain is known from the
+    /// roster.
     pub fn on_heard(&mut self, now: Millis, instance: &Instance) {
         if let Some((_, heard)) = self.entries.get_mut(instance) {
             *heard = now;
         }
     }
 
-    /// Returns the number of what a control instance told last; 0 if it told nothing.
+    /// Returns the number of the last roster that a control instance sent; 0 if there is none.
     pub fn number_told_by(&self, control: &Instance) -> u64 {
         self.told.get(control).map_or(0, |told| told.number)
     }
 
-    /// Takes in what a control instance tells.
+    /// Applies a roster that a control instance sent.
     pub fn on_told(&mut self, now: Millis, control: &Instance, told: Told) {
         self.listed = Some(now);
         self.refresh(now, &told);
         self.told.insert(control.clone(), told);
     }
 
-    /// Takes in that a control instance would tell the same again.
+    /// Applies a control instance's confirmation that its last roster is unchanged.
     pub fn on_same(&mut self, now: Millis, control: &Instance, number: u64) {
         let Some(told) = self.told.get(control).filter(|told| told.number == number).cloned()
         else {
@@ -147,8 +153,8 @@
         }
     }
 
-    /// Returns what this control instance tells, under a new number if it has changed. Numbers are
-    /// drawn from the wall clock, so that those of an earlier process are not used again.
+    /// Returns the roster that this control instance sends, under a new number if it has changed.
+    /// Numbers are at least the wall clock, so that those of an earlier process are not used again.
     pub fn tell(&mut self, unix_ms: u64, controls: Vec<Instance>) -> &Told {
         let entries = self.entries();
         if self.own.number == 0 || self.own.entries != entries || self.own.controls != controls {
@@ -158,7 +164,8 @@
         &self.own
     }
 
-    /// Drops who has not been heard for long, unless nobody lists the fleet.
+    /// Drops the instances that were not heard from for long, unless no control instance reaches
+    /// this one.
     pub fn expire(&mut self, now: Millis, lists_itself: bool) {
         let is_listed = self.listed.is_some_and(|listed| now.since(listed) <= ENTRY_TTL);
         if lists_itself || is_listed {
@@ -170,12 +177,12 @@
         }
     }
 
-    /// Lists the entries.
+    /// Returns the entries.
     pub fn entries(&self) -> Vec<Resident> {
         self.entries.iter().map(|(i, (domain, _))| Resident(i.clone(), domain.clone())).collect()
     }
 
-    /// Lists the control instances.
+    /// Returns the control instances, including those that the settings name.
     pub fn controls(&self) -> Vec<Instance> {
         let known = self.controls.keys().chain(&self.seeds);
         known.cloned().collect::<BTreeSet<Instance>>().into_iter().collect()
