--- a/src/kingcupgrade/coordination/fleet/telling.rs
+++ b/src/kingcupgrade/coordination/fleet/telling.rs
@@ -1,13 +1,13 @@
-//! What an instance tells of its dependence on the record, for whoever reads the logs later.
+//! Reports how an instance depends on the record, for the log.
 //!
-//! An entry that goes by an old configuration looks healthy. Only whom it asked, and how old that
-//! one's word was, explain it afterwards.
+//! An entry that runs on an outdated configuration looks healthy. Which control instance it asked,
+//! and when the configuration was last confirmed, explain its behaviour afterwards.
 
 use super::{ConfigurationSource, FleetNode, FleetOutput, RecordStanding};
 use crate::core::Millis;
 
 impl FleetNode {
-    /// Tells whom this instance asks and whether its configuration is confirmed, on a change.
+    /// Reports the source of the configuration and whether it is confirmed, if either changed.
     pub(super) fn tell_source(&mut self, now: Millis, out: &mut Vec<FleetOutput>) {
         let source = ConfigurationSource {
             asks: self.client.source().cloned(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Tells the part of this control instance in the record, on a change.
+    /// Reports this control instance's state in the consensus, if it changed.
     pub(super) fn tell_standing(&mut self, now: Millis, out: &mut Vec<FleetOutput>) {
         let Some(control) = &self.control else { return };
         let consensus = control.consensus();
