--- a/src/kingcupgrade/coordination/fleet/totals.rs
+++ b/src/kingcupgrade/coordination/fleet/totals.rs
@@ -1,11 +1,13 @@
-//! What each entry learns of the others' load, without every entry telling every other.
+//! Exchange of load reports, without each entry sending to every other one.
 //!
-//! In a small fleet each entry tells all others. Messages then grow with the square of the fleet:
-//! at some dozen entries a small processor does nothing else. In a larger one the entries of a
-//! failure domain tell two of them, the collectors; these add up what they hear, exchange the sums
-//! of their domains, and tell their own domain the total. Each entry takes out its own part.
+//! In a small fleet each entry sends its report to all others. The number of messages then grows
+//! with the square of the fleet: with some dozens of entries, a small processor does nothing else.
+//! In a larger fleet the entries of a failure domain send to two of them, the collectors.
+//! Collectors add up the reports, exchange the sums of their failure domains, and send the total to
+//! the entries of their own. Each entry subtracts its own report from it.
 //!
-//! Two collectors say the same, so one may be lost without a gap; the later word counts.
+//! Both collectors send the same, so one may be lost without a gap. The last message that arrives
+//! replaces earlier ones.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,31 +20,34 @@
     util::rendezvous,
 };
 
-/// Up to this many entries each tells all others: some hundred messages a second.
+/// Up to this size of a fleet each entry sends to all others: some hundred messages per second.
 const MESH_MOST: usize = 16;
-/// Collectors of a failure domain.
+/// The number of collectors in a failure domain.
 const COLLECTORS: usize = 2;
-/// What the collectors' ranking is drawn by.
+/// The key of the rendezvous hash that selects the collectors.
 const RANKING_KEY: &str = "collector";
-/// How often an entry tells of its load. Shorter costs processor time in every entry; longer lets
-/// entries send to the same upstream without knowing.
+/// The interval at which an entry sends its report. A shorter one costs processor time in every
+/// entry; with a longer one entries send requests to the same upstream without knowing of each
+/// other.
 const MESH_INTERVAL: Millis = Millis(100);
-/// The same where collectors add up: each of two collectors tells as often, in turn.
+/// The minimum of the same interval with collectors: each of the two collectors sends at this
+/// interval, so totals arrive twice as often.
 const COLLECTED_INTERVAL: Millis = Millis(200);
-/// The interval grows by this for each entry, so that a collector hears and tells a few hundred
-/// times a second at most.
+/// The interval per entry of the fleet, so that a collector receives and sends a few hundred
+/// messages per second at most.
 const INTERVAL_PER_ENTRY: Millis = Millis(2);
-/// A report or a sum counts for this long at least: one or two may be lost.
+/// The minimum time for which a report or a sum is valid: one or two may be lost.
 const TTL: Millis = Millis(1_500);
-/// And for this many intervals.
+/// The minimum number of intervals for which a report or a sum is valid.
 const TTL_INTERVALS: u64 = 4;
-/// Own reports that are remembered, to be taken out of totals: more than are told while one is on
-/// its way.
+/// The number of own reports that are remembered, to be subtracted from totals: more than are sent
+/// while a total is on its way.
 const OWN_REPORTS: usize = 32;
-/// Whose report the total of all others counts as.
+/// The name under which the total of all other entries is delivered, in place of the sender of a
+/// report.
 const TOTAL: &str = "total";
 
-/// Returns how often an entry tells of its load in a fleet of so many.
+/// Returns the interval at which an entry sends its report in a fleet of `entries`.
 pub fn share_interval(entries: usize) -> Millis {
     if entries <= MESH_MOST {
         return MESH_INTERVAL;
@@ -50,26 +55,27 @@
     COLLECTED_INTERVAL.max(Millis(INTERVAL_PER_ENTRY.0 * entries as u64))
 }
 
-/// Returns how old what an entry knows of the others is, about, in a fleet of so many: a report is
-/// half an interval old on average where each tells all, and waits at two collectors beyond that.
+/// Returns the approximate age of what an entry knows of the others in a fleet of `entries`: a
+/// report is half an interval old on average where each entry sends to all, and with collectors it
+/// also waits at two of them.
 pub fn report_age(entries: usize) -> Millis {
     let interval = share_interval(entries).0;
     if entries <= MESH_MOST { Millis(interval / 2) } else { Millis(interval * 3 / 2) }
 }
 
-/// Returns how long a report counts in a fleet of so many.
+/// Returns how long a report is valid in a fleet of `entries`.
 pub fn report_ttl(entries: usize) -> Millis {
     TTL.max(Millis(share_interval(entries).0 * TTL_INTERVALS))
 }
 
-/// Whom an entry tells, as follows from the fleet's entries.
+/// The entries that this entry sends to, derived from the roster.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Layout {
-    /// How many entries the fleet has.
+    /// The number of entries in the fleet.
     entries: usize,
-    /// Who hears this entry's reports.
+    /// The entries that this entry sends its reports to.
     hearers: Vec<Instance>,
-    /// Where this entry collects: the others of its failure domain.
+    /// The other entries of this failure domain, if this entry is a collector.
     members: Option<Vec<Instance>>,
     /// The collectors of the other failure domains.
     far_collectors: Vec<Instance>,
@@ -108,12 +114,12 @@
     }
 }
 
-/// Something to do.
+/// An action for the node to carry out.
 #[derive(Debug)]
 pub(super) enum TotalsOutput {
     /// Send a message to several entries.
     SendToAll(Vec<Instance>, Message),
-    /// Others have this under way.
+    /// Other entries have this load under way.
     Heard(Instance, LoadReport),
 }
 
@@ -123,18 +129,18 @@
     layout: Layout,
     own: VecDeque<LoadReport>,
     next_number: u32,
-    /// Reports of the other entries of this failure domain, where this entry collects.
+    /// The reports of the other entries of this failure domain, if this entry is a collector.
     members: BTreeMap<Instance, (Millis, LoadReport)>,
     /// The sums of the other failure domains.
     domains: BTreeMap<FailureDomain, (Millis, LoadReport)>,
-    /// Parts kept by upstreams that this failure domain's entries told of, not passed on yet.
+    /// Cached prompt parts that entries of this failure domain announced, not passed on yet.
     kept_here: Vec<KeptParts>,
-    /// The same that the collectors of the others told of.
+    /// The same that collectors of other failure domains announced.
     kept_elsewhere: Vec<KeptParts>,
 }
 
 impl Totals {
-    /// Takes in who is in the fleet.
+    /// Updates the topology from the entries of the fleet.
     pub(super) fn set_residents(
         &mut self,
         own: &Instance,
@@ -144,7 +150,7 @@
         self.layout = Layout::new(own, domain, residents);
     }
 
-    /// Tells of this entry's load, and of the sums where it collects.
+    /// Sends this entry's report, and the sums if it is a collector.
     pub(super) fn share(
         &mut self,
         now: Millis,
@@ -210,7 +216,7 @@
         out.push(TotalsOutput::SendToAll(members, Message::Fleet(FleetMessage::Total(total))));
     }
 
-    /// Takes in another entry's report.
+    /// Handles another entry's report.
     pub(super) fn on_load(
         &mut self,
         now: Millis,
@@ -227,7 +233,7 @@
         None
     }
 
-    /// Takes in the sum of another failure domain.
+    /// Handles the sum of another failure domain.
     pub(super) fn on_domain_sum(
         &mut self,
         now: Millis,
@@ -240,7 +246,7 @@
         self.domains.insert(domain, (now, sum));
     }
 
-    /// Takes in the total of the fleet, and takes this entry's part out of it.
+    /// Handles the total of the fleet, and subtracts this entry's report from it.
     pub(super) fn on_total(&self, own: &Instance, total: &Total) -> Option<TotalsOutput> {
         let mut sum = Sum::default();
         sum.add(&total.report, 1);
@@ -254,7 +260,8 @@
     }
 }
 
-/// Adds what was told of kept parts, once where both collectors of a failure domain tell it.
+/// Adds announcements of cached parts, once where both collectors of a failure domain send the
+/// same.
 fn add_news(known: &mut Vec<KeptParts>, told: &mut Vec<KeptParts>) {
     let news = std::mem::take(told).into_iter();
     for parts in news {
@@ -274,7 +281,7 @@
 }
 
 impl Sum {
-    /// Adds a report, or takes it out where `sign` is -1.
+    /// Adds a report multiplied by `sign`, which is 1 or -1.
     fn add(&mut self, report: &LoadReport, sign: i64) {
         for (name, load) in &report.loads {
             let amounts = [i64::from(load.running), load.unread as i64, load.memory as i64];
