--- a/src/kingcupgrade/coordination/overload.rs
+++ b/src/kingcupgrade/coordination/overload.rs
@@ -1,55 +1,58 @@
-//! Refusing what an entry's own processor can't carry.
+//! Load shedding when an entry's own processor is overloaded.
 //!
-//! The balancer sends a caller's connections to one entry, by a hash, so an entry may get many times
-//! its even part. Its processor then falls behind: every event of every stream it relays is late,
-//! new callers wait unread until they give up, and nobody is told. A caller that is refused comes
-//! back by another entry at once, so refusing a part early serves all of them better.
+//! The balancer assigns a caller's connections to one entry by a hash, so an entry may get many
+//! times its even share. Its processor then falls behind: all events of the streams it relays are
+//! late, and new callers wait unserved until they give up. A caller that is refused reaches another
+//! entry at once, so refusing a fraction of the requests early serves all of them better.
 //!
-//! How far behind the processor is shows in how long a task waits for its turn. The part that is
-//! refused is learned from that slowly, so that it comes near what is too much. The further behind,
-//! the more seldom a task gets its turn, and the later a rush would be noticed, while requests are
-//! sent on whose callers have long left. So far behind all are refused until it has caught up.
+//! How far the processor is behind shows in how long a task waits to be scheduled. The refused
+//! fraction is adjusted slowly, so that it converges to the excess load. The further the processor
+//! is behind, the more rarely a task is scheduled and the later a surge would be noticed, while
+//! requests are sent on whose callers have long left. So above a second limit all requests are
+//! refused until the processor has caught up.
 
 use crate::core::Millis;
 
-/// A task may wait this long: a pause that callers of streams still take for none. Below it a short
-/// rush is carried a little late, which serves more of them than refusing a part.
+/// The scheduling delay above which the refused fraction grows: a pause that callers of streams
+/// don't notice yet. Below it a short surge is served a little late, which serves more callers than
+/// refusing a fraction.
 const LATE_LIMIT: Millis = Millis(100);
-/// If two tasks in turn wait longer than this, the processor is far behind: a request waits for two
-/// turns until it is sent on, and its caller leaves after half a second or little more.
+/// If two tasks in a row wait longer than this, all requests are refused: a request waits for two
+/// tasks to be scheduled before it is sent on, and its caller leaves after half a second or little
+/// more.
 const FAR_LIMIT: Millis = Millis(200);
-/// What one task that waits twice as long adds to the refused part.
+/// The increase of the refused fraction for one task that waits twice the limit.
 const GAIN: f64 = 0.06;
-/// The most that one task adds: a process that stood still for seconds is not overloaded.
+/// The maximum increase for one task: a process that was suspended for seconds is not overloaded.
 const MAX_STEP: f64 = 0.2;
-/// What a task that gets its turn in time takes off the refused part; measured each 10 ms, the
-/// part falls by a half in a second, slower than callers come back.
+/// The decrease of the refused fraction for each task that is scheduled in time. With one each 10
+/// ms the fraction falls by 0.5 in a second, which is slower than callers come back.
 const RECOVERY: f64 = 0.005;
-/// The most that is refused: the rest shows whether it is still too much.
+/// The maximum refused fraction: the requests still served show whether the load is still too high.
 const MAX_PART: f64 = 0.95;
 
-/// An entry that refuses this part asks the balancer for no new callers, until it refuses nothing:
-/// callers that are refused come back to the entry that the balancer's hash gives them, so only
+/// From this refused fraction on an entry asks the balancer for no new callers, until it refuses
+/// nothing. Refused callers come back to the entry that the balancer's hash selects, so only
 /// another entry in its place helps them.
 const FULL_PART: f64 = 0.25;
 
-/// How much an entry refuses.
+/// The load shedding state of an entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overload {
     is_full: bool,
     part: f64,
-    /// The parts of requests not refused so far.
+    /// The sum of the refused fractions of requests that were not refused, below 1.
     owed: f64,
-    /// How long the last task waited.
+    /// How long the last task waited to be scheduled.
     last: Millis,
-    /// Whether it and the one before waited for too long. One alone may have met a process that stood
-    /// still.
+    /// Whether the last two tasks both waited too long. A single one may have been caused by a
+    /// suspended process.
     is_far_behind: bool,
 }
 
 impl Overload {
-    /// Notes how long a task waited for its turn; such a task is begun each 10 ms if the one before
-    /// has had its turn.
+    /// Records how long a measuring task waited to be scheduled. One is started each 10 ms if the
+    /// one before has run.
     pub fn on_turn(&mut self, late: Millis) {
         let excess = late.0 as f64 / LATE_LIMIT.0 as f64 - 1.0;
         let step = if excess > 0.0 { (GAIN * excess).min(MAX_STEP) } else { -RECOVERY };
@@ -62,33 +65,35 @@
         self.on_wait(late);
     }
 
-    /// Notes how long a new connection waited for its turn; there are many of them when it matters.
+    /// Records how long a new connection waited to be scheduled; under overload there are many of
+    /// them.
     pub fn on_wait(&mut self, late: Millis) {
         self.is_far_behind = late.min(self.last) > FAR_LIMIT;
         self.last = late;
     }
 
-    /// Returns the part of requests that is refused.
+    /// Returns the fraction of requests that is refused.
     pub fn part(&self) -> f64 {
         self.part
     }
 
-    /// Returns how long the last task waited for its turn.
+    /// Returns how long the last task waited to be scheduled.
     pub fn turn_wait(&self) -> Millis {
         self.last
     }
 
-    /// Tells whether everything is refused until the processor has caught up.
+    /// Returns whether all requests are refused until the processor has caught up.
     pub fn is_far_behind(&self) -> bool {
         self.is_far_behind
     }
 
-    /// Tells whether new callers are better sent elsewhere.
+    /// Returns whether new callers should be sent to other entries.
     pub fn is_full(&self) -> bool {
         self.is_full
     }
 
-    /// Tells whether the request that came now is refused; spread evenly over requests.
+    /// Returns whether to refuse the request that has just arrived. Refusals are spread evenly over
+    /// the requests.
     pub fn refuses(&mut self) -> bool {
         if self.is_far_behind {
             return true;
