--- a/src/kingcupgrade/coordination/view.rs
+++ b/src/kingcupgrade/coordination/view.rs
@@ -1,7 +1,7 @@
-//! What an instance knows of the record's configuration.
+//! An instance's copy of the configuration in the record.
 //!
-//! Every part carries its place in the record and is replaced only by a later one, so an old
-//! message, an isolated control instance or a restarted neighbour can never take a part back.
+//! Every part carries its index in the record and is replaced only by a later one, so a delayed
+//! message, an isolated control instance or a restarted entry can never revert a part.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,22 +16,22 @@
     },
 };
 
-/// Without confirmation for this long, nothing new goes to other failure domains.
+/// Without confirmation for this long, an instance sends nothing new to other failure domains.
 ///
-/// A failure domain may have been taken out meanwhile; "no new work a few seconds after" would
-/// not hold for an instance that goes on with what it knew.
+/// A failure domain may have been taken out of service meanwhile. An instance that went on with
+/// what it knew would break the rule that the domain gets no new work a few seconds later.
 pub const FRESHNESS_LIMIT: Millis = Millis(2_500);
 
-/// A document in force and where it stands.
+/// A document in force, parsed and as stored.
 #[derive(Clone, Debug)]
 pub struct InForce {
-    /// The document, shared with the requests that run under it.
+    /// The parsed document, shared with the requests that run under it.
     pub document: Arc<Document>,
-    /// As it is stored.
+    /// The document as the record stores it.
     pub stored: StoredDocument,
 }
 
-/// The configuration as one instance knows it.
+/// The configuration, as one instance knows it.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     index: u64,
@@ -44,7 +44,7 @@
 }
 
 impl View {
-    /// Returns the place in the record of the last change known.
+    /// Returns the index in the record of the last known change.
     pub fn index(&self) -> u64 {
         self.index
     }
@@ -54,50 +54,52 @@
         &self.documents
     }
 
-    /// Tells whether a failure domain is out.
+    /// Returns whether a failure domain is out of service.
     pub fn is_out(&self, domain: &FailureDomain) -> bool {
         self.domains.get(domain).is_some_and(|standing| standing.out)
     }
 
-    /// Returns the whole configuration in force, as its operator sent it.
+    /// Returns the complete configuration in force, as its operator sent it.
     pub fn whole(&self) -> Option<&StoredConfiguration> {
         self.whole.as_ref()
     }
 
-    /// Lists the standings of failure domains.
+    /// Returns the states of failure domains.
     pub fn domains(&self) -> impl Iterator<Item = &Standing<FailureDomain>> {
         self.domains.values()
     }
 
-    /// Lists the upstreams an operator lets leave.
+    /// Returns the upstreams that an operator has set to leave.
     pub fn leaving(&self) -> BTreeSet<UpstreamName> {
         self.upstreams.values().filter(|s| s.out).map(|s| s.name.clone()).collect()
     }
 
-    /// Tells whether an upstream is leaving.
+    /// Returns whether an operator has set an upstream to leave.
     pub fn is_leaving(&self, upstream: &UpstreamName) -> bool {
         self.upstreams.get(upstream).is_some_and(|standing| standing.out)
     }
 
-    /// Lists the orders that stand.
+    /// Returns the latest order for each upstream that has one.
     pub fn orders(&self) -> impl Iterator<Item = &UpstreamOrder> {
         self.orders.values()
     }
 
-    /// Returns how long ago the configuration was confirmed to be the newest, if it ever was.
+    /// Returns the time since the configuration was last confirmed to be the newest, if it ever
+    /// was.
     pub fn confirmed_age(&self, now: Millis) -> Option<Millis> {
         self.confirmed.map(|confirmed| now.since(confirmed))
     }
 
-    /// Tells whether the configuration was confirmed to be the newest of late.
+    /// Returns whether the configuration was recently confirmed to be the newest.
     pub fn is_fresh(&self, now: Millis) -> bool {
         self.confirmed_age(now).is_some_and(|age| age <= FRESHNESS_LIMIT)
     }
 
-    /// Takes in a [`RecordMessage::State`]; returns whether anything changed.
+    /// Merges a [`RecordMessage::State`]; returns whether anything changed.
     ///
-    /// Only an answer confirms, and from the time it was asked for. A connection that stood still
-    /// may deliver an old state late, and counted from its arrival that would look fresh.
+    /// Only an answer to a request confirms the configuration, and only as of the time of that
+    /// request. A stalled connection may deliver an old state late, and counted from its arrival it
+    /// would look fresh.
     pub fn merge(&mut self, message: &RecordMessage) -> bool {
         let RecordMessage::State {
             index, since, documents, domains, upstreams, orders, whole, ..
@@ -124,9 +126,9 @@
             self.whole = Some(whole.clone());
             changed = true;
         }
-        // Told to the process that had this one's place before, a state leaves out what that one
-        // had. Taken as whole, this one would ask for later changes only, and go by an older
-        // configuration until the next.
+        // A state that answers an earlier process of this instance leaves out what that process
+        // already had. If it were taken as complete, this process would ask for later changes only,
+        // and would use an older configuration until the next change.
         if *since > self.index {
             return changed;
         }
@@ -144,15 +146,16 @@
         if known.is_some_and(|known| known.stored.index >= stored.index) {
             return false;
         }
-        // The record holds checked documents only; one that fails here was checked by a newer
-        // program, and the known one stays in force.
+        // The record holds only validated documents. One that can't be parsed here was validated by
+        // a newer version of the program; the known document stays in force.
         let Ok(document) = Document::parse(&stored.text) else { return false };
         let in_force = InForce { document: Arc::new(document), stored: stored.clone() };
         self.documents.insert(stored.service.clone(), in_force);
         true
     }
 
-    /// Returns all that changed after `have`, as a neighbour passes it on: without confirmation.
+    /// Returns all parts that changed after index `have`, as one entry passes them on to another:
+    /// without confirmation.
     pub fn state_since(&self, have: u64) -> RecordMessage {
         let documents = self.documents.values().map(|in_force| &in_force.stored);
         RecordMessage::State {
@@ -169,7 +172,7 @@
     }
 }
 
-/// Takes in a part if its place in the record is later than that of the known one.
+/// Replaces a part if the new one has a later index in the record.
 fn merge_newer<N: Ord + Clone, P: Clone>(
     known: &mut BTreeMap<N, P>,
     name: &N,
