--- a/src/kingcupgrade/coordination/listing.rs
+++ b/src/kingcupgrade/coordination/listing.rs
@@ -1,10 +1,11 @@
-//! Who reads the platform's list of upstreams, and when.
+//! Coordinates which entry reads the platform's list of upstreams, and when.
 //!
-//! The list bears a few calls a second from the whole fleet, and each is priced. One entry reads it
-//! and tells all others at once what has changed. Where it is not heard, one entry of the failure
-//! domain reads for its domain, and a second one where that is not heard either. An entry that hears
-//! nobody reads the list itself, and less often the more entries may be doing the same. One that
-//! starts asks those three what they know, and reads only if none answers.
+//! The list allows a few calls per second from the whole fleet, and each call is priced. One entry
+//! reads the list and sends the changes to all others at once. Where nothing arrives from it, one
+//! entry of the failure domain reads for its domain, and a second one if nothing arrives from the
+//! first. An entry that receives nothing at all reads the list itself, less often the more entries
+//! may do the same. An entry that starts asks these three for their list, and reads it itself only
+//! if none answers.
 
 use std::collections::BTreeMap;
 
@@ -16,84 +17,88 @@
     util::rendezvous,
 };
 
-/// How often a reader reads. The list lags by most of a second by itself, and an upstream that
-/// leaves must get nothing new a few seconds after it is listed so.
+/// The interval at which a reader reads the list. The list itself lags by most of a second, and an
+/// upstream that leaves must get nothing new a few seconds after it is listed so.
 const INTERVAL: Millis = Millis(900);
-/// The pause after the list could not be read.
+/// The delay before the next attempt after a reading failed.
 const PAUSE: Millis = Millis(400);
-/// Entries that stand in for the one that reads, in a failure domain.
+/// The number of stand-ins in a failure domain, which read the list if nothing arrives from the
+/// reader.
 const STAND_INS: usize = 2;
-/// The first of them reads after so long a silence: one reading has failed to come.
+/// The first stand-in reads after it has received nothing for this long: one reading has failed to
+/// arrive.
 const FIRST_STAND_IN_SILENCE: Millis = Millis(1_300);
-/// The second one, if nothing has come of the first either.
+/// The second stand-in reads after this long: nothing has arrived from the first stand-in either.
 const SECOND_STAND_IN_SILENCE: Millis = Millis(1_700);
-/// An entry that has heard nothing for this long reads the list itself: two readings have failed
-/// to come.
+/// An entry that has received nothing for this long reads the list itself: two readings have failed
+/// to arrive.
 const SILENCE: Millis = Millis(2_000);
-/// Entries that lose their readers at the same moment begin to read within this span, not at once.
+/// Entries that lose their readers at the same moment start to read spread over this time.
 const STAGGER: Millis = Millis(1_000);
-/// How long an entry that starts waits for the word of others; stand-ins wait for less, in turn.
+/// How long an entry that starts waits for a list from other entries; the stand-ins wait less, the
+/// first the least.
 const START_SILENCE: Millis = Millis(500);
 const FIRST_STAND_IN_START: Millis = Millis(300);
 const SECOND_STAND_IN_START: Millis = Millis(400);
-/// Entries that start together and hear nobody begin to read within this part of the stagger.
+/// Entries that start together and receive nothing start to read spread over the stagger divided by
+/// this.
 const START_STAGGER_PART: u64 = 2;
-/// What is known of the list is told to an entry that starts if it is younger than this.
+/// A list is sent to an entry that starts only if it is younger than this.
 pub const MAX_TOLD_AGE: Millis = Millis(1_000);
-/// Entries that may read the list at once at the pace of a reader without exceeding what it bears;
-/// beyond these, each reads less often.
+/// The number of entries that may all read at the interval of a reader without exceeding the rate
+/// that the list allows; in a larger fleet, each reads less often.
 const ENTRIES_AT_PACE: usize = 12;
-/// What the readers' ranking is drawn by.
+/// The key of the rendezvous hash that ranks the readers.
 const RANKING_KEY: &str = "listing";
 
-/// What an entry has to do with reading the list.
+/// An entry's part in reading the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ListingDuty {
-    /// It reads for the fleet.
+    /// Reads the list for the fleet.
     Reads,
-    /// It reads for its failure domain while nobody is heard.
+    /// Reads the list for its failure domain while nothing arrives from the reader.
     StandsIn,
-    /// The same, after the first that does.
+    /// Reads the list for its failure domain while nothing arrives from the first stand-in either.
     StandsInSecond,
-    /// It hears what others read.
+    /// Receives what the others read.
     #[default]
     Hears,
 }
 
-/// When one entry reads the list next.
+/// Schedules the readings of one entry.
 #[derive(Clone, Debug, Default)]
 pub struct ListingPlan {
     stagger: Millis,
     heard: Option<Millis>,
-    /// When it was last read here.
+    /// When this entry last read the list.
     read: Millis,
-    /// When it reads next as a reader.
+    /// The time of the next reading as reader or stand-in.
     next: Millis,
-    /// When it reads next if it hears nothing.
+    /// The time of the next reading as an entry that only receives, if nothing arrives.
     next_alone: Millis,
 }
 
 impl ListingPlan {
-    /// Makes the plan of an entry that starts, at zero by its clock.
+    /// Creates the schedule of an entry that starts, at zero by its clock.
     pub fn new(entry: &Instance) -> ListingPlan {
         let place = u64::from(crc32fast::hash(entry.as_str().as_bytes()));
         ListingPlan { stagger: Millis(place % STAGGER.0), ..ListingPlan::default() }
     }
 
-    /// Notes that another entry told what it read so long ago.
+    /// Records a list received from another entry, which was read `age` ago.
     pub fn on_heard(&mut self, now: Millis, age: Millis) {
         let at = now.since(age);
         self.heard = Some(self.heard.map_or(at, |heard| heard.max(at)));
         self.next_alone = now;
     }
 
-    /// Tells whether anything is known of the list.
+    /// Returns whether the list was ever read or received.
     pub fn is_known(&self) -> bool {
         self.heard.is_some() || self.read > Millis::ZERO
     }
 
-    /// Notes that the list was read here or could not be, in a fleet of so many entries.
+    /// Records a reading by this entry, or a failed attempt, in a fleet of `entries`.
     pub fn on_read(&mut self, now: Millis, is_ok: bool, entries: usize) {
         let pause = if is_ok { INTERVAL } else { PAUSE };
         let crowd = entries.div_ceil(ENTRIES_AT_PACE).max(1);
@@ -104,12 +109,13 @@
         self.next_alone = now + Millis(pause.0 * crowd as u64);
     }
 
-    /// Returns how long ago the list was last read or heard of; since the start if never.
+    /// Returns the age of the newest list that was read or received; the time since the start if
+    /// there is none.
     pub fn age(&self, now: Millis) -> Millis {
         now.since(self.heard.unwrap_or_default().max(self.read))
     }
 
-    /// Tells whether it is time to read.
+    /// Returns whether the list is due to be read.
     pub fn is_due(&self, now: Millis, duty: ListingDuty) -> bool {
         let silence = match (duty, self.is_known()) {
             (ListingDuty::Reads, _) => return now >= self.next,
@@ -127,17 +133,18 @@
     }
 }
 
-/// The entries of a fleet and of one of its failure domains.
+/// The entries of a fleet, and those of one of its failure domains.
 #[derive(Clone, Copy, Debug)]
 pub struct Neighbours<'a> {
     /// All entries.
     pub fleet: &'a [Instance],
-    /// Those of the failure domain.
+    /// The entries of the failure domain.
     pub domain: &'a [Instance],
 }
 
 impl Neighbours<'_> {
-    /// Lists who may know the list: who reads it, and who stands in here.
+    /// Returns the entries that may know the list: the reader, and the stand-ins of the failure
+    /// domain.
     pub fn readers(&self) -> Vec<Instance> {
         let mut readers = first(self.fleet, 1);
         for entry in first(self.domain, STAND_INS) {
@@ -148,7 +155,7 @@
         readers
     }
 
-    /// Returns what an entry of the failure domain has to do with the list.
+    /// Returns the part of an entry of the failure domain in reading the list.
     pub fn duty(&self, entry: &Instance) -> ListingDuty {
         if first(self.fleet, 1).first() == Some(entry) {
             return ListingDuty::Reads;
@@ -167,7 +174,7 @@
     ranked
 }
 
-/// The platform's list as an entry knows it, by whose reading.
+/// The platform's list as an entry knows it, and the entry that read it.
 #[derive(Clone, Debug, Default)]
 pub struct KnownListing {
     reader: Option<Instance>,
@@ -181,8 +188,9 @@
         self.upstreams.values()
     }
 
-    /// Takes in what was read here, and returns what has changed for those who know it as it was.
-    /// Numbers are drawn from the wall clock, so that those of an earlier process are not used again.
+    /// Applies a list that this entry read, and returns the change for the entries that know the
+    /// previous one. Numbers are at least the wall clock, so that those of an earlier process are
+    /// not used again.
     pub fn on_read(
         &mut self,
         own: &Instance,
@@ -206,7 +214,8 @@
         self.news(own, base, changed, gone.cloned().collect())
     }
 
-    /// Takes in what another entry tells; false if it builds on a list that is not known here.
+    /// Applies a change from another entry; returns false if it builds on a list that is not known
+    /// here.
     pub fn on_news(&mut self, news: ListingNews) -> bool {
         let is_known = self.reader.as_ref() == Some(&news.reader) && self.number == news.base;
         if news.base == 0 {
@@ -223,8 +232,7 @@
         true
     }
 
-    /// Returns the whole list as it is told to one that knows nothing; `None` if nothing is known
-    /// here either.
+    /// Returns the whole list, for an entry that knows none; `None` if none is known here either.
     pub fn whole(&self) -> Option<ListingNews> {
         self.reader.as_ref().map(|reader| self.whole_by(reader))
     }
