--- a/src/kingcupgrade/coordination/traffic/backlog.rs
+++ b/src/kingcupgrade/coordination/traffic/backlog.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 struct Prompt {
     no: RequestNo,
-    left: f64,
+    tokens_left: f64,
 }
 
 /// The unread prompts of one entry at one engine, oldest first.
@@ -27,7 +27,7 @@
     /// Adds a prompt.
     pub fn push(&mut self, no: RequestNo, tokens: u64) {
         if tokens > 0 {
-            self.prompts.push_back(Prompt { no, left: tokens as f64 });
+            self.prompts.push_back(Prompt { no, tokens_left: tokens as f64 });
         }
     }
 
@@ -37,19 +37,19 @@
         let mut tokens = now.since(self.at).0 as f64 * rate;
         self.at = now;
         while let Some(first) = self.prompts.front_mut() {
-            if first.left > tokens {
-                first.left -= tokens;
+            if first.tokens_left > tokens {
+                first.tokens_left -= tokens;
                 return;
             }
-            tokens -= first.left;
+            tokens -= first.tokens_left;
             self.prompts.pop_front();
         }
     }
 
     /// Records the first event of a request: its prompt and all before it have been read.
     pub fn on_first_event(&mut self, no: RequestNo) {
-        if let Some(place) = self.prompts.iter().position(|prompt| prompt.no == no) {
-            self.prompts.drain(..=place);
+        if let Some(position) = self.prompts.iter().position(|prompt| prompt.no == no) {
+            self.prompts.drain(..=position);
         }
     }
 
@@ -60,6 +60,6 @@
 
     /// Returns the estimated number of unread tokens.
     pub fn tokens(&self) -> u64 {
-        self.prompts.iter().map(|prompt| prompt.left as u64).sum()
+        self.prompts.iter().map(|prompt| prompt.tokens_left as u64).sum()
     }
 }
--- a/src/kingcupgrade/coordination/traffic/budget.rs
+++ b/src/kingcupgrade/coordination/traffic/budget.rs
@@ -13,13 +13,13 @@
 const SLICES: u64 = 10;
 /// The fraction of the allowance that is spent. Arrivals are counted at the upstreams a little
 /// after they are sent here, and so fall into windows that this entry can't see exactly.
-const SAFE_PART: f64 = 0.7;
+const SAFETY_FRACTION: f64 = 0.7;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     index: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Requests and retries of one service in a sliding window.
@@ -42,24 +42,24 @@
 impl RetryBudget {
     /// Counts a caller's request.
     pub fn on_request(&mut self, now: Millis, allowance: Allowance) {
-        self.slice(now, allowance).requests += 1;
+        self.current_slice(now, allowance).requests += 1;
     }
 
     /// Spends a retry if this entry, one of `entries`, has one left; returns whether it had.
     pub fn try_repeat(&mut self, now: Millis, allowance: Allowance, entries: usize) -> bool {
-        self.slice(now, allowance);
+        self.current_slice(now, allowance);
         let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
-        let repeats: u32 = self.slices.iter().map(|slice| slice.repeats).sum();
+        let retries: u32 = self.slices.iter().map(|slice| slice.retries).sum();
         let slack = allowance.slack / entries.max(1) as f64;
-        let allowed = SAFE_PART * (allowance.ratio * f64::from(requests) + slack);
-        if f64::from(repeats) + 1.0 > allowed {
+        let allowed = SAFETY_FRACTION * (allowance.ratio * f64::from(requests) + slack);
+        if f64::from(retries) + 1.0 > allowed {
             return false;
         }
-        self.slice(now, allowance).repeats += 1;
+        self.current_slice(now, allowance).retries += 1;
         true
     }
 
-    fn slice(&mut self, now: Millis, allowance: Allowance) -> &mut Slice {
+    fn current_slice(&mut self, now: Millis, allowance: Allowance) -> &mut Slice {
         let length = (allowance.window.0 / SLICES).max(1);
         let index = now.0 / length;
         self.slices.retain(|slice| slice.index + SLICES > index);
--- a/src/kingcupgrade/coordination/traffic/cold.rs
+++ b/src/kingcupgrade/coordination/traffic/cold.rs
@@ -14,17 +14,17 @@
 
 /// The smallest useful share, in requests per second. An entry may save up one request, so in any
 /// second the upstream gets at most a third more than it can take.
-const LEAST_PART: f64 = 3.0;
+const MIN_SHARE: f64 = 3.0;
 
 /// Returns the requests per second that `entry`, one of `entries`, may send to a cold upstream that
 /// can take `rate` in all.
-pub fn cold_share(
+pub fn cold_rate_share(
     rate: f64,
     upstream: &UpstreamName,
     entry: &Instance,
     entries: &[Instance],
 ) -> f64 {
-    let senders = ((rate / LEAST_PART) as usize).max(1);
+    let senders = ((rate / MIN_SHARE) as usize).max(1);
     if entries.len() <= senders {
         return rate / entries.len().max(1) as f64;
     }
--- a/src/kingcupgrade/coordination/traffic/demand.rs
+++ b/src/kingcupgrade/coordination/traffic/demand.rs
@@ -51,7 +51,8 @@
     /// Returns the id of the part by which upstreams are ranked for the request: the last part that
     /// other requests may share. The very last part of a prompt is the request's own.
     pub fn affinity(&self) -> Option<u64> {
-        let shared = self.prompt.len().checked_sub(2).and_then(|place| self.prompt.get(place));
+        let shared =
+            self.prompt.len().checked_sub(2).and_then(|position| self.prompt.get(position));
         shared.or(self.prompt.first()).map(|part| part.id)
     }
 
--- a/src/kingcupgrade/coordination/traffic/engine.rs
+++ b/src/kingcupgrade/coordination/traffic/engine.rs
@@ -7,19 +7,19 @@
 
 /// The read rate assumed before any answer, in tokens per millisecond: low enough that callers of a
 /// slow engine still get their first event on time.
-const FIRST_READ_RATE: f64 = 60.0;
+const INITIAL_READ_RATE: f64 = 60.0;
 /// The lowest and highest read rates that are accepted, in tokens per millisecond. A measurement
 /// outside of them is clamped, since the time was spent on something else.
-const READ_RATES: (f64, f64) = (20.0, 160.0);
+const READ_RATE_RANGE: (f64, f64) = (20.0, 160.0);
 /// The part of the time to a first event that doesn't depend on the prompt, in milliseconds.
-const FIRST_EVENT_BASE: f64 = 80.0;
+const FIRST_EVENT_BASE_MS: f64 = 80.0;
 /// Answers with fewer tokens to read than this are ignored, unless they come sooner than expected:
 /// they say too little about the rate.
-const TELLING_TOKENS: u64 = 4_000;
+const RELIABLE_TOKENS: u64 = 4_000;
 /// Answers with fewer tokens to read than this are always ignored.
-const LEAST_TOKENS: u64 = 1_000;
+const MIN_TOKENS: u64 = 1_000;
 /// The weight of one answer in the moving average.
-const GAIN: f64 = 0.05;
+const SAMPLE_WEIGHT: f64 = 0.05;
 
 /// The estimated speed of the engines of one service.
 #[derive(Clone, Copy, Debug)]
@@ -29,7 +29,7 @@
 
 impl Default for EngineSpeed {
     fn default() -> EngineSpeed {
-        EngineSpeed { read_rate: FIRST_READ_RATE }
+        EngineSpeed { read_rate: INITIAL_READ_RATE }
     }
 }
 
@@ -40,19 +40,19 @@
     /// evidence, the estimate could never rise again after one overload. So smaller amounts also
     /// count when they are read sooner than expected.
     pub fn on_first_event(&mut self, tokens: u64, took: Millis) {
-        let is_sooner = (took.0 as f64) < self.first_event_ms(tokens);
-        if tokens < LEAST_TOKENS || (tokens < TELLING_TOKENS && !is_sooner) {
+        let is_early = (took.0 as f64) < self.first_event_ms(tokens);
+        if tokens < MIN_TOKENS || (tokens < RELIABLE_TOKENS && !is_early) {
             return;
         }
-        let reading = (took.0 as f64 - FIRST_EVENT_BASE).max(1.0);
-        let rate = (tokens as f64 / reading).clamp(READ_RATES.0, READ_RATES.1);
-        self.read_rate += GAIN * (rate - self.read_rate);
+        let reading_ms = (took.0 as f64 - FIRST_EVENT_BASE_MS).max(1.0);
+        let rate = (tokens as f64 / reading_ms).clamp(READ_RATE_RANGE.0, READ_RATE_RANGE.1);
+        self.read_rate += SAMPLE_WEIGHT * (rate - self.read_rate);
     }
 
     /// Returns the expected time to a first event before which `tokens` have to be read, in
     /// milliseconds.
     pub fn first_event_ms(&self, tokens: u64) -> f64 {
-        FIRST_EVENT_BASE + tokens as f64 / self.read_rate
+        FIRST_EVENT_BASE_MS + tokens as f64 / self.read_rate
     }
 
     /// Returns the estimated read rate, in tokens per millisecond.
--- a/src/kingcupgrade/coordination/traffic/mod.rs
+++ b/src/kingcupgrade/coordination/traffic/mod.rs
@@ -10,11 +10,11 @@
 mod backlog;
 mod budget;
 mod cold;
+mod decaying_sum;
 mod demand;
 mod engine;
-mod fading;
 mod health;
-mod others;
+mod peer_reports;
 mod placement;
 mod queue;
 mod shares;
@@ -29,16 +29,16 @@
 pub use self::{
     backlog::Backlog,
     budget::{Allowance, RetryBudget},
+    decaying_sum::DecayingSum,
     demand::{Demand, PromptPart, RequestNo},
     engine::EngineSpeed,
-    fading::Fading,
     health::Health,
-    placement::NoPlace,
-    shares::{Shares, Standing},
+    placement::PlacementError,
+    shares::{ShareStatus, Shares},
     upstream::Upstream,
     verdict::{Basis, Grant, SendEnd, Verdict},
 };
-use self::{cold::cold_share, others::Others};
+use self::{cold::cold_rate_share, peer_reports::PeerReports};
 use crate::{
     coordination::fleet::report_age,
     core::{
@@ -51,20 +51,20 @@
 
 /// The fraction of this entry's share of a connection limit that is used: connections that are
 /// being closed still count at the upstream.
-const CONNECTION_PART: f64 = 0.85;
+const CONNECTION_FRACTION: f64 = 0.85;
 /// The weight of one answer in a route's moving average of generated tokens.
-const GAIN: f64 = 0.05;
+const OUTPUT_SAMPLE_WEIGHT: f64 = 0.05;
 
 /// A request that was sent to an upstream and has not ended.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentRequest {
     upstream: UpstreamName,
     service: Service,
     organisation: Organisation,
     route: Arc<str>,
     sent: Millis,
     /// Prompt tokens to be read at the upstream before its first event, its own included.
-    ahead: u64,
+    tokens_ahead: u64,
     memory: u64,
     prompt: u64,
     output: u32,
@@ -84,18 +84,18 @@
     domains_out: BTreeSet<FailureDomain>,
     /// All entries of the fleet, including this one.
     entries: Vec<Instance>,
-    others: Others,
+    peer_reports: PeerReports,
     speeds: HashMap<Service, EngineSpeed>,
     budgets: HashMap<Service, RetryBudget>,
-    sent: HashMap<RequestNo, Sent>,
-    waiting: Vec<queue::Waiting>,
+    sent: HashMap<RequestNo, SentRequest>,
+    waiting: Vec<queue::WaitingRequest>,
     /// When the waiting requests were last polled.
-    polled: Millis,
+    last_poll: Millis,
     shares: Shares,
     /// Prompt parts that upstreams cache and that the other entries have not been told about.
-    kept_news: BTreeMap<UpstreamName, Vec<u64>>,
+    unannounced_parts: BTreeMap<UpstreamName, Vec<u64>>,
     /// Moving average of the tokens generated per request, by route.
-    outputs: HashMap<Arc<str>, f64>,
+    output_averages: HashMap<Arc<str>, f64>,
 }
 
 impl Traffic {
@@ -108,15 +108,15 @@
             by_service: HashMap::new(),
             domains_out: BTreeSet::new(),
             entries: Vec::new(),
-            others: Others::default(),
+            peer_reports: PeerReports::default(),
             speeds: HashMap::new(),
             budgets: HashMap::new(),
             sent: HashMap::new(),
             waiting: Vec::new(),
-            polled: Millis::ZERO,
+            last_poll: Millis::ZERO,
             shares: Shares::default(),
-            kept_news: BTreeMap::new(),
-            outputs: HashMap::new(),
+            unannounced_parts: BTreeMap::new(),
+            output_averages: HashMap::new(),
         }
     }
 
@@ -139,7 +139,7 @@
     pub fn set_entries(&mut self, entries: Vec<Instance>) {
         self.entries = entries;
         let count = self.entry_count();
-        self.shares.set_others(count - 1, report_age(count));
+        self.shares.set_peers(count - 1, report_age(count));
     }
 
     /// Returns whether any upstream is known.
@@ -164,7 +164,7 @@
 
     /// Returns the requests a second that this entry may send to a cold upstream.
     fn cold_rate(&self, plan: &ServicePlan, upstream: &UpstreamName) -> f64 {
-        cold_share(plan.cold_per_s, upstream, &self.settings.instance(), &self.entries)
+        cold_rate_share(plan.cold_per_s, upstream, &self.settings.instance(), &self.entries)
     }
 
     fn plan(&self, service: &Service) -> Option<ServicePlan> {
@@ -197,29 +197,29 @@
             let service = upstream.listed.service.clone();
             self.by_service.entry(service).or_default().push(name.clone());
         }
-        self.others.recount(&mut self.upstreams);
+        self.peer_reports.recompute(&mut self.upstreams);
     }
 
     /// Applies another entry's load report.
     pub fn on_report(&mut self, now: Millis, from: Instance, mut report: LoadReport) {
         for KeptParts(name, parts) in std::mem::take(&mut report.kept) {
             if let Some(upstream) = self.upstreams.get_mut(&name) {
-                upstream.on_kept(now, &parts);
+                upstream.on_announced_parts(now, &parts);
             }
         }
-        self.others.on_report(now, from, report, &mut self.upstreams);
+        self.peer_reports.on_report(now, from, report, &mut self.upstreams);
     }
 
     /// Drops the reports of entries that have stopped sending them.
     pub fn expire_reports(&mut self, now: Millis) {
         let entries = self.entry_count();
-        self.others.expire(now, entries, &mut self.upstreams);
+        self.peer_reports.expire(now, entries, &mut self.upstreams);
     }
 
     /// Returns the load report to send to the other entries, and marks its prompt parts as
     /// announced.
     pub fn tell(&mut self, now: Millis) -> LoadReport {
-        let news = std::mem::take(&mut self.kept_news).into_iter();
+        let news = std::mem::take(&mut self.unannounced_parts).into_iter();
         let kept = news.map(|(name, parts)| KeptParts(name, parts)).collect();
         LoadReport { kept, ..self.report(now) }
     }
@@ -241,7 +241,7 @@
     /// caller's hint and the route's moving average, or the one of them that is known. With neither
     /// it is half of `most`, the largest allowed.
     pub fn expected_output(&self, route: &str, hint: Option<u32>, most: u32) -> u32 {
-        let learned = self.outputs.get(route).copied();
+        let learned = self.output_averages.get(route).copied();
         let expected = match (hint, learned) {
             (Some(hint), Some(learned)) => (f64::from(hint) + learned) / 2.0,
             (Some(hint), None) => f64::from(hint),
@@ -270,21 +270,21 @@
         let cold_rate = self.cold_rate(&plan, name);
         let upstream = self.upstreams.get_mut(name)?;
         if upstream.is_cold(now) {
-            upstream.spend_cold(now, cold_rate);
+            upstream.take_cold_token(now, cold_rate);
         }
-        let unread = upstream.unread_of(now, demand);
-        let ahead = upstream.unread() + unread;
+        let unread = upstream.uncached_tokens(now, demand);
+        let tokens_ahead = upstream.unread() + unread;
         let prompt = demand.prompt_tokens();
         let speed = self.speeds.get(&demand.service).copied().unwrap_or_default();
         let is_engine = plan.engine.is_some();
         let basis = Basis {
-            running: (upstream.own.running, upstream.others.running),
+            running: (upstream.own.running, upstream.peers.running),
             unread: upstream.unread(),
             to_read: unread,
             memory: upstream.memory(),
-            failures: upstream.health.failure_share(),
+            failures: upstream.health.failure_rate(),
             is_cold: upstream.is_cold(now),
-            expected_ms: if is_engine { speed.first_event_ms(ahead) as u64 } else { 0 },
+            expected_ms: if is_engine { speed.first_event_ms(tokens_ahead) as u64 } else { 0 },
         };
         // Prompt parts that the upstream has cached take no more memory for another request.
         let memory = unread + u64::from(demand.output);
@@ -292,17 +292,17 @@
         upstream.backlog.push(demand.no, unread);
         upstream.own.unread = upstream.backlog.tokens();
         upstream.own.memory += memory;
-        let news = upstream.keep(now, demand);
+        let news = upstream.record_prompt(now, demand);
         if !news.is_empty() {
-            self.kept_news.entry(name.clone()).or_default().extend(news);
+            self.unannounced_parts.entry(name.clone()).or_default().extend(news);
         }
-        let sent = Sent {
+        let sent = SentRequest {
             upstream: name.clone(),
             service: demand.service.clone(),
             organisation: demand.organisation.clone(),
             route: demand.route.clone(),
             sent: now,
-            ahead,
+            tokens_ahead,
             memory,
             prompt,
             output: demand.output,
@@ -312,7 +312,7 @@
         };
         self.shares.on_served(now, &demand.organisation, demand.work());
         self.sent.insert(demand.no, sent);
-        let share = f64::from(plan.max_connections) * CONNECTION_PART / entries;
+        let share = f64::from(plan.max_connections) * CONNECTION_FRACTION / entries;
         Some(Grant {
             upstream: name.clone(),
             address: upstream.listed.address,
@@ -333,7 +333,7 @@
             upstream.own.unread = upstream.backlog.tokens();
         }
         let speed = self.speeds.entry(sent.service.clone()).or_default();
-        speed.on_first_event(sent.ahead, now.since(sent.sent));
+        speed.on_first_event(sent.tokens_ahead, now.since(sent.sent));
     }
 
     /// Records generated tokens.
@@ -353,7 +353,7 @@
     /// Records the end of a request that was sent.
     pub fn on_end(&mut self, now: Millis, no: RequestNo, end: SendEnd) {
         let Some(sent) = self.sent.remove(&no) else { return };
-        let usual = self.usual_failures(&sent.service);
+        let service_rate = self.median_failure_rate(&sent.service);
         if let Some(upstream) = self.upstreams.get_mut(&sent.upstream) {
             upstream.own.running = upstream.own.running.saturating_sub(1);
             upstream.own.memory = upstream.own.memory.saturating_sub(sent.memory);
@@ -363,7 +363,7 @@
             }
             match end {
                 SendEnd::Answered => upstream.health.on_answer(),
-                SendEnd::Failed | SendEnd::Broken => upstream.health.on_failure(now, usual),
+                SendEnd::Failed | SendEnd::Broken => upstream.health.on_failure(now, service_rate),
                 SendEnd::Unreachable => upstream.health.on_unreachable(now),
                 SendEnd::Replaced => upstream.listed.is_ready = false,
                 SendEnd::Rejected => {
@@ -378,23 +378,24 @@
             // upstreams crash would get less than the others at that very time.
             self.shares.on_served(now, &sent.organisation, -sent.work);
         }
-        self.learn_output(now, &sent, end);
+        self.update_output_average(now, &sent, end);
     }
 
-    fn usual_failures(&self, service: &Service) -> f64 {
+    fn median_failure_rate(&self, service: &Service) -> f64 {
         let names = self.by_service.get(service).into_iter().flatten();
         let mut shares: Vec<f64> =
-            names.map(|name| self.upstreams[name].health.failure_share()).collect();
+            names.map(|name| self.upstreams[name].health.failure_rate()).collect();
         shares.sort_by(f64::total_cmp);
         shares.get(shares.len() / 2).copied().unwrap_or(0.0)
     }
 
-    fn learn_output(&mut self, now: Millis, sent: &Sent, end: SendEnd) {
+    fn update_output_average(&mut self, now: Millis, sent: &SentRequest, end: SendEnd) {
         if sent.prompt == 0 || end != SendEnd::Answered {
             return;
         }
-        let learned = self.outputs.entry(sent.route.clone()).or_insert(f64::from(sent.generated));
-        *learned += GAIN * (f64::from(sent.generated) - *learned);
+        let learned =
+            self.output_averages.entry(sent.route.clone()).or_insert(f64::from(sent.generated));
+        *learned += OUTPUT_SAMPLE_WEIGHT * (f64::from(sent.generated) - *learned);
         let surplus = f64::from(sent.generated) - f64::from(sent.output);
         self.shares.on_served(now, &sent.organisation, 2.0 * surplus);
     }
--- a/src/kingcupgrade/coordination/traffic/others.rs
+++ b/src/kingcupgrade/coordination/traffic/peer_reports.rs
@@ -18,7 +18,7 @@
 /// The demand and usage of an organisation at the other entries, in tokens, as sums that decay with
 /// the time constants of the shares.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct PeerUsage {
     /// Tokens asked for.
     pub asked: f64,
     /// Tokens served.
@@ -29,12 +29,12 @@
 
 /// The other entries' reports and their sums.
 #[derive(Debug, Default)]
-pub struct Others {
+pub struct PeerReports {
     reports: BTreeMap<Instance, (Millis, LoadReport)>,
-    told: BTreeMap<Organisation, Told>,
+    usage: BTreeMap<Organisation, PeerUsage>,
 }
 
-impl Others {
+impl PeerReports {
     /// Replaces the report of an entry.
     pub fn on_report(
         &mut self,
@@ -45,9 +45,9 @@
     ) {
         add(&report, upstreams);
         self.count(&report, 1.0);
-        if let Some((_, before)) = self.reports.insert(from, (now, report)) {
-            remove(&before, upstreams);
-            self.count(&before, -1.0);
+        if let Some((_, previous)) = self.reports.insert(from, (now, report)) {
+            remove(&previous, upstreams);
+            self.count(&previous, -1.0);
         }
     }
 
@@ -63,14 +63,14 @@
         }
         if self.reports.is_empty() {
             // With no report left the sums are exactly zero, so rounding errors are dropped too.
-            self.told.clear();
+            self.usage.clear();
         }
     }
 
     /// Recomputes the sums of all upstreams, after the list of upstreams has changed.
-    pub fn recount(&self, upstreams: &mut Upstreams) {
+    pub fn recompute(&self, upstreams: &mut Upstreams) {
         for upstream in upstreams.values_mut() {
-            upstream.others = Default::default();
+            upstream.peers = Default::default();
         }
         for (_, report) in self.reports.values() {
             add(report, upstreams);
@@ -78,36 +78,36 @@
     }
 
     /// Returns the demand and usage of each organisation at the other entries.
-    pub fn told(&self) -> &BTreeMap<Organisation, Told> {
-        &self.told
+    pub fn usage(&self) -> &BTreeMap<Organisation, PeerUsage> {
+        &self.usage
     }
 
     fn count(&mut self, report: &LoadReport, sign: f64) {
         for (organisation, asked) in &report.asked {
-            self.told_mut(organisation).asked += sign * f64::from(*asked);
+            self.usage_mut(organisation).asked += sign * f64::from(*asked);
         }
         for (organisation, served) in &report.served {
-            self.told_mut(organisation).served += sign * f64::from(*served);
+            self.usage_mut(organisation).served += sign * f64::from(*served);
         }
         for (organisation, refused) in &report.refused {
-            self.told_mut(organisation).refused += sign * f64::from(*refused);
+            self.usage_mut(organisation).refused += sign * f64::from(*refused);
         }
     }
 
-    fn told_mut(&mut self, organisation: &Organisation) -> &mut Told {
-        if !self.told.contains_key(organisation) {
-            self.told.insert(organisation.clone(), Told::default());
+    fn usage_mut(&mut self, organisation: &Organisation) -> &mut PeerUsage {
+        if !self.usage.contains_key(organisation) {
+            self.usage.insert(organisation.clone(), PeerUsage::default());
         }
-        self.told.get_mut(organisation).expect("it was inserted")
+        self.usage.get_mut(organisation).expect("it was inserted")
     }
 }
 
 fn add(report: &LoadReport, upstreams: &mut Upstreams) {
     for (name, load) in &report.loads {
         if let Some(upstream) = upstreams.get_mut(name) {
-            upstream.others.running += load.running;
-            upstream.others.unread += load.unread;
-            upstream.others.memory += load.memory;
+            upstream.peers.running += load.running;
+            upstream.peers.unread += load.unread;
+            upstream.peers.memory += load.memory;
         }
     }
 }
@@ -115,10 +115,10 @@
 fn remove(report: &LoadReport, upstreams: &mut Upstreams) {
     for (name, load) in &report.loads {
         if let Some(upstream) = upstreams.get_mut(name) {
-            let others = &mut upstream.others;
-            others.running = others.running.saturating_sub(load.running);
-            others.unread = others.unread.saturating_sub(load.unread);
-            others.memory = others.memory.saturating_sub(load.memory);
+            let peers = &mut upstream.peers;
+            peers.running = peers.running.saturating_sub(load.running);
+            peers.unread = peers.unread.saturating_sub(load.unread);
+            peers.memory = peers.memory.saturating_sub(load.memory);
         }
     }
 }
--- a/src/kingcupgrade/coordination/traffic/placement.rs
+++ b/src/kingcupgrade/coordination/traffic/placement.rs
@@ -10,20 +10,20 @@
 
 /// The fraction of an engine's memory that is filled; the rest is left for generations that run
 /// over their estimates.
-const MEMORY_PART: f64 = 0.9;
+const MEMORY_FRACTION: f64 = 0.9;
 /// The weight of the time to re-read a shared part, against an earlier first event for this one
 /// request. Re-reading takes engine time from all requests and memory from other cached parts. With
 /// this weight a shared part of some thousand tokens stays at its preferred upstream as long as the
 /// target is met there.
-const READ_AGAIN_WEIGHT: f64 = 12.0;
+const REREAD_WEIGHT: f64 = 12.0;
 /// The fraction of the time left to the target within which an expected first event is safe:
 /// estimates miss what other entries have sent since their last report.
-const SAFE_PART: f64 = 0.6;
+const SAFE_FRACTION: f64 = 0.6;
 /// The weight of each millisecond beyond the safe fraction.
 const UNSAFE_WEIGHT: f64 = 4.0;
 /// The fraction of an engine's slots that is filled. Each further running request slows the events
 /// of all others.
-const SLOT_PART: f64 = 0.95;
+const SLOT_FRACTION: f64 = 0.95;
 /// The cost of each request that runs on the engine, in milliseconds: each makes the engine's steps
 /// longer.
 const RUNNING_WEIGHT: f64 = 0.5;
@@ -31,36 +31,36 @@
 /// avoid a busy preferred upstream go to the same next one.
 const RANK_WEIGHT: f64 = 10.0;
 /// Time kept free before the target for the way to the caller, in milliseconds.
-const MARGIN: f64 = 40.0;
+const RETURN_MARGIN_MS: f64 = 40.0;
 /// The limit of requests under way at a plain upstream, as a multiple of its slots. Those beyond
 /// its slots wait there for a fraction of one request's duration, which is less than the age of the
 /// other entries' reports.
-const PLAIN_DEPTH: u32 = 2;
+const PLAIN_LIMIT_FACTOR: u32 = 2;
 /// The cost of a plain upstream in another failure domain, in requests under way: traffic between
 /// failure domains takes time and is paid for by the byte.
-const FAR_WEIGHT: f64 = 0.4;
+const REMOTE_DOMAIN_COST: f64 = 0.4;
 
 /// The number of upstreams that are compared before the best of them is taken, in the order of
 /// their ranking. Those behind cost about a quarter of a second more by their position alone, and
 /// comparing a hundred takes a small processor half a millisecond per request.
-const LOOKED_AT_ONCE: usize = 24;
+const COMPARED_AT_ONCE: usize = 24;
 
 /// Why no upstream can take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoPlace {
+pub enum PlacementError {
     /// The service has no upstream, or all are out of service, leaving or avoided by the request.
-    Nobody,
+    NoUpstream,
     /// All upstreams are full or would answer too late.
     Full,
 }
 
 /// The conditions under which a request is placed.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Terms {
+pub(super) struct PlacementTerms {
     /// The fraction of the time left to the target within which the first event must be expected.
-    pub(super) budget: f64,
+    pub(super) time_fraction: f64,
     /// Whether a shared part may be sent to an engine that has to read it again.
-    pub(super) may_read_again: bool,
+    pub(super) may_reread: bool,
 }
 
 /// Returns the rank of an upstream for a shared part; the same on every entry.
@@ -80,58 +80,58 @@
         &mut self,
         now: Millis,
         demand: &Demand,
-        terms: Terms,
-    ) -> Result<UpstreamName, NoPlace> {
-        let Some(plan) = self.plan(&demand.service) else { return Err(NoPlace::Nobody) };
+        terms: PlacementTerms,
+    ) -> Result<UpstreamName, PlacementError> {
+        let Some(plan) = self.plan(&demand.service) else { return Err(PlacementError::NoUpstream) };
         let mut names = self.usable(now, demand);
         if names.is_empty() {
-            return Err(NoPlace::Nobody);
+            return Err(PlacementError::NoUpstream);
         }
         if let Some(part) = demand.affinity() {
             names.sort_by_cached_key(|name| u64::MAX - rank(part, name));
         }
         let speed = self.speeds.get(&demand.service).copied().unwrap_or_default();
-        let left = (demand.target.since(now).0 as f64 - MARGIN).max(0.0);
+        let ms_to_target = (demand.target.since(now).0 as f64 - RETURN_MARGIN_MS).max(0.0);
         let mut best: Option<(f64, UpstreamName)> = None;
-        let mut place = 0;
-        for (looked_at, name) in names.into_iter().enumerate() {
-            if looked_at % LOOKED_AT_ONCE == 0 && best.is_some() {
+        let mut position = 0;
+        for (compared, name) in names.into_iter().enumerate() {
+            if compared % COMPARED_AT_ONCE == 0 && best.is_some() {
                 break;
             }
             let Some(upstream) = self.upstreams.get(&name) else { continue };
             let cold_rate = upstream.is_cold(now).then(|| self.cold_rate(&plan, &name));
             let Some(upstream) = self.upstreams.get_mut(&name) else { continue };
-            upstream.let_read(now, speed.read_rate());
-            if cold_rate.is_some_and(|rate| !upstream.has_cold_room(now, rate)) {
+            upstream.advance_reading(now, speed.read_rate());
+            if cold_rate.is_some_and(|rate| !upstream.allows_cold_request(now, rate)) {
                 continue;
             }
             let cost = match &plan.engine {
                 Some(engine) => {
                     let kv_capacity = engine.kv_capacity;
-                    let fit = Fit { kv_capacity, speed, left, place, terms };
+                    let fit = EngineFit { kv_capacity, speed, ms_to_target, position, terms };
                     engine_cost(now, upstream, demand, fit)
                 }
                 None => plain_cost(now, upstream, &self.settings.failure_domain),
             };
             // A cold upstream takes no position in the ranking: it can't take all requests for the
             // parts that prefer it.
-            place += usize::from(!upstream.is_cold(now));
+            position += usize::from(!upstream.is_cold(now));
             if let Some(cost) = cost
                 && best.as_ref().is_none_or(|(least, _)| cost < *least)
             {
                 best = Some((cost, name));
             }
         }
-        best.map(|(_, name)| name).ok_or(NoPlace::Full)
+        best.map(|(_, name)| name).ok_or(PlacementError::Full)
     }
 
     /// Returns the time until the least loaded usable upstream has read all prompts sent to it.
-    pub(super) fn room_in(&mut self, now: Millis, demand: &Demand) -> Millis {
+    pub(super) fn time_to_capacity(&mut self, now: Millis, demand: &Demand) -> Millis {
         let speed = self.speeds.get(&demand.service).copied().unwrap_or_default();
         let names = self.usable(now, demand);
         let unread = names.iter().filter_map(|name| {
             let upstream = self.upstreams.get_mut(name)?;
-            upstream.let_read(now, speed.read_rate());
+            upstream.advance_reading(now, speed.read_rate());
             Some(upstream.unread())
         });
         let least = unread.min().unwrap_or(0);
@@ -148,67 +148,70 @@
                 && !self.domains_out.contains(&upstream.listed.domain)
                 && !demand.avoid.contains(name)
         });
-        let (aside, sound): (Vec<_>, Vec<_>) =
-            ready.partition(|(_, upstream)| upstream.health.is_aside(now));
-        let is_most = sound.len() * 3 >= sound.len() + aside.len();
+        let (ejected, healthy): (Vec<_>, Vec<_>) =
+            ready.partition(|(_, upstream)| upstream.health.is_ejected(now));
+        let has_enough_healthy = healthy.len() * 3 >= healthy.len() + ejected.len();
         // If most seem to fail, the cause is more likely this entry or something that all of them
         // share.
-        let usable = if is_most { Vec::new() } else { aside };
-        sound.into_iter().chain(usable).map(|(name, _)| name.clone()).collect()
+        let fallback = if has_enough_healthy { Vec::new() } else { ejected };
+        healthy.into_iter().chain(fallback).map(|(name, _)| name.clone()).collect()
     }
 }
 
 /// The limits that a request has to fit at an engine.
 #[derive(Clone, Copy)]
-struct Fit {
+struct EngineFit {
     kv_capacity: u64,
     speed: EngineSpeed,
     /// The time left until the first event is due, in milliseconds.
-    left: f64,
+    ms_to_target: f64,
     /// The engine's position in the ranking for the request's shared part.
-    place: usize,
-    terms: Terms,
+    position: usize,
+    terms: PlacementTerms,
 }
 
 /// Returns the expected time to the first event plus the weighted costs for other requests, in
 /// milliseconds, or `None` if the engine is full or the event would come too late.
-fn engine_cost(now: Millis, upstream: &Upstream, demand: &Demand, fit: Fit) -> Option<f64> {
-    let slots = f64::from(upstream.listed.slots) * SLOT_PART;
+fn engine_cost(now: Millis, upstream: &Upstream, demand: &Demand, fit: EngineFit) -> Option<f64> {
+    let slots = f64::from(upstream.listed.slots) * SLOT_FRACTION;
     let running = upstream.running(now);
     if f64::from(running) >= slots.max(1.0) {
         return None;
     }
     let own_part = demand.prompt.last().map_or(0, |part| u64::from(part.tokens));
     // Other entries have already sent the shared parts to their preferred engine.
-    let unread =
-        if fit.place == 0 { own_part } else { upstream.unread_of(now, demand).max(own_part) };
-    let again = (unread - own_part) as f64;
-    if again > 0.0 && !fit.terms.may_read_again {
+    let unread = if fit.position == 0 {
+        own_part
+    } else {
+        upstream.uncached_tokens(now, demand).max(own_part)
+    };
+    let reread_tokens = (unread - own_part) as f64;
+    if reread_tokens > 0.0 && !fit.terms.may_reread {
         return None;
     }
-    let left = fit.left * fit.terms.budget;
+    let time_limit = fit.ms_to_target * fit.terms.time_fraction;
     let needed = upstream.memory() + unread + u64::from(demand.output);
-    if needed as f64 > fit.kv_capacity as f64 * MEMORY_PART {
+    if needed as f64 > fit.kv_capacity as f64 * MEMORY_FRACTION {
         return None;
     }
     let first_event = fit.speed.first_event_ms(upstream.unread() + unread);
     // A prompt that takes longer to read than the time left is still accepted by an engine that has
     // nothing else to read.
-    if first_event > left && upstream.unread() > 0 {
+    if first_event > time_limit && upstream.unread() > 0 {
         return None;
     }
-    let again = again / fit.speed.read_rate() * READ_AGAIN_WEIGHT;
-    let unsafe_ms = (first_event - fit.left * SAFE_PART).max(0.0) * UNSAFE_WEIGHT;
-    let rank = if fit.place == 0 { 0.0 } else { fit.place as f64 * RANK_WEIGHT };
-    Some(first_event + again + unsafe_ms + f64::from(running) * RUNNING_WEIGHT + rank)
+    let reread_cost = reread_tokens / fit.speed.read_rate() * REREAD_WEIGHT;
+    let unsafe_cost = (first_event - fit.ms_to_target * SAFE_FRACTION).max(0.0) * UNSAFE_WEIGHT;
+    let rank = if fit.position == 0 { 0.0 } else { fit.position as f64 * RANK_WEIGHT };
+    Some(first_event + reread_cost + unsafe_cost + f64::from(running) * RUNNING_WEIGHT + rank)
 }
 
 /// Returns the cost of a plain upstream, in requests under way, or `None` if it is full.
 fn plain_cost(now: Millis, upstream: &Upstream, domain: &FailureDomain) -> Option<f64> {
     let running = upstream.running(now);
-    if running >= upstream.listed.slots * PLAIN_DEPTH {
+    if running >= upstream.listed.slots * PLAIN_LIMIT_FACTOR {
         return None;
     }
-    let far = if upstream.listed.domain == *domain { 0.0 } else { FAR_WEIGHT };
-    Some(f64::from(running) + far + 2.0 * upstream.health.failure_share())
+    let domain_cost = if upstream.listed.domain == *domain { 0.0 } else { REMOTE_DOMAIN_COST };
+    Some(f64::from(running) + domain_cost + 2.0 * upstream.health.failure_rate())
 }
--- a/src/kingcupgrade/coordination/traffic/queue.rs
+++ b/src/kingcupgrade/coordination/traffic/queue.rs
@@ -6,48 +6,50 @@
 //! request that can't meet its target any more is refused at once, with the time after which
 //! capacity is expected.
 
-use super::{Demand, NoPlace, RequestNo, Standing, Traffic, Verdict, placement::Terms};
+use super::{
+    Demand, PlacementError, RequestNo, ShareStatus, Traffic, Verdict, placement::PlacementTerms,
+};
 use crate::core::{Code, Millis};
 
 /// The fraction of the time to its target that a request within its organisation's share may wait;
 /// the rest must suffice to read its prompt.
-const WAIT_PART: f64 = 0.5;
+const WAIT_FRACTION: f64 = 0.5;
 /// The same fraction beyond the share: short, since an early refusal lets the caller retry in time.
-const WAIT_PART_BEYOND: f64 = 0.12;
+const WAIT_FRACTION_OVER_SHARE: f64 = 0.12;
 /// The fraction of the time left to the target within which the first event of a request beyond its
 /// organisation's share must be expected, so that its prompt is read before requests within their
 /// shares have to wait.
-const BUDGET_FAIR: f64 = 0.6;
+const SPARE_TIME_FRACTION: f64 = 0.6;
 /// The limit of waiting requests at one entry; more than can be served within any target.
 const MAX_WAITING: usize = 400;
 /// The limit of waiting requests that are tried in one poll, so that polling doesn't take up a
 /// small processor.
-const MAX_LOOKS: usize = 24;
+const MAX_TRIES_PER_POLL: usize = 24;
 /// The minimum interval between two polls, however many requests end: a small fraction of any
 /// target, and long against the time that a poll takes.
 const MIN_POLL_INTERVAL: Millis = Millis(3);
 /// The limit of upstreams that are compared in one poll. Each takes a quarter of a microsecond, so
 /// a poll takes about a twentieth of the interval between two.
-const MAX_UPSTREAM_LOOKS: usize = 600;
+const MAX_COMPARISONS_PER_POLL: usize = 600;
 /// The minimum retry delay of a refused caller: the reason for the refusal doesn't change any
 /// sooner.
-const SOONEST_RETURN: Millis = Millis(120);
+const MIN_RETRY_DELAY: Millis = Millis(120);
 /// The maximum retry delay: a caller that retries later gets its answer too late in any case, and
 /// an estimate for a longer time is unreliable.
-const LATEST_RETURN: Millis = Millis(1_500);
+const MAX_RETRY_DELAY: Millis = Millis(1_500);
 /// The retry delay after an entry refused a request because its own processor is overloaded; other
 /// entries can take the request at once.
-const RETRY_AFTER_BUSY: Millis = Millis(50);
+const RETRY_AFTER_OVERLOAD: Millis = Millis(50);
 /// The retry delay if no upstream is available: restarts take seconds.
-const RETRY_AFTER_NOBODY: Millis = Millis(1_000);
+const RETRY_AFTER_NO_UPSTREAM: Millis = Millis(1_000);
 
 /// A request that waits for capacity.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
+pub(super) struct WaitingRequest {
     pub(super) demand: Demand,
-    standing: Standing,
+    status: ShareStatus,
     /// The time until which the request may wait.
-    until: Millis,
+    wait_until: Millis,
 }
 
 impl Traffic {
@@ -55,23 +57,25 @@
     pub fn admit(&mut self, now: Millis, demand: Demand) -> Option<Verdict> {
         let work = demand.work();
         self.refresh_shares(now);
-        let standing = match demand.prompt.is_empty() {
+        let status = match demand.prompt.is_empty() {
             // Shares are counted in tokens, and plain requests use none.
-            true => Standing::Within,
-            false => self.shares.standing(now, &demand.organisation, work),
+            true => ShareStatus::Within,
+            false => self.shares.status(now, &demand.organisation, work),
         };
         self.shares.on_asked(now, &demand.organisation, work);
-        match self.start(now, &demand, standing) {
+        match self.start(now, &demand, status) {
             Ok(verdict) => Some(verdict),
-            Err(NoPlace::Nobody) => Some(refuse(Code::NoUpstream, RETRY_AFTER_NOBODY)),
-            Err(NoPlace::Full) if standing == Standing::Beyond => {
-                Some(self.refuse_for_now(now, Code::OverShare, &demand))
+            Err(PlacementError::NoUpstream) => {
+                Some(refuse(Code::NoUpstream, RETRY_AFTER_NO_UPSTREAM))
             }
-            Err(NoPlace::Full) if self.waiting.len() >= MAX_WAITING => {
-                Some(self.refuse_for_now(now, Code::QueueFull, &demand))
+            Err(PlacementError::Full) if status == ShareStatus::Over => {
+                Some(self.refuse_until_capacity(now, Code::OverShare, &demand))
             }
-            Err(NoPlace::Full) => {
-                self.wait(demand, standing);
+            Err(PlacementError::Full) if self.waiting.len() >= MAX_WAITING => {
+                Some(self.refuse_until_capacity(now, Code::QueueFull, &demand))
+            }
+            Err(PlacementError::Full) => {
+                self.enqueue(demand, status);
                 None
             }
         }
@@ -87,49 +91,52 @@
         let work = demand.work();
         self.shares.on_asked(now, &demand.organisation, work);
         self.shares.on_refused(now, &demand.organisation, work);
-        RETRY_AFTER_BUSY
+        RETRY_AFTER_OVERLOAD
     }
 
     fn refresh_shares(&mut self, now: Millis) {
         let capacity = self.configuration.as_ref().map_or(0.0, |c| c.limits.tokens_per_s);
-        self.shares.refresh(now, capacity, self.others.told());
+        self.shares.refresh(now, capacity, self.peer_reports.usage());
     }
 
-    /// Starts a request if there is capacity for one of its standing.
+    /// Starts a request if there is capacity for its share status.
     fn start(
         &mut self,
         now: Millis,
         demand: &Demand,
-        standing: Standing,
-    ) -> Result<Verdict, NoPlace> {
-        let terms = match standing {
-            Standing::Within => Terms { budget: 1.0, may_read_again: true },
+        status: ShareStatus,
+    ) -> Result<Verdict, PlacementError> {
+        let terms = match status {
+            ShareStatus::Within => PlacementTerms { time_fraction: 1.0, may_reread: true },
             // Capacity that would require re-reading a part cached by another engine doesn't count
             // as spare.
-            Standing::Fair => Terms { budget: BUDGET_FAIR, may_read_again: false },
-            Standing::Beyond => return Err(NoPlace::Full),
+            ShareStatus::Spare => {
+                PlacementTerms { time_fraction: SPARE_TIME_FRACTION, may_reread: false }
+            }
+            ShareStatus::Over => return Err(PlacementError::Full),
         };
         let name = self.place(now, demand, terms)?;
         let granted = self.grant(now, demand, &name);
-        Ok(granted.map_or(refuse(Code::NoUpstream, RETRY_AFTER_NOBODY), Verdict::Start))
+        Ok(granted.map_or(refuse(Code::NoUpstream, RETRY_AFTER_NO_UPSTREAM), Verdict::Start))
     }
 
     /// Refuses a request for lack of capacity or because its organisation is over its share, with
     /// the time until that is expected to change.
-    fn refuse_for_now(&mut self, now: Millis, code: Code, demand: &Demand) -> Verdict {
+    fn refuse_until_capacity(&mut self, now: Millis, code: Code, demand: &Demand) -> Verdict {
         self.shares.on_refused(now, &demand.organisation, demand.work());
-        let room_in = match code {
-            Code::OverShare => self.shares.room_in(now, &demand.organisation),
-            _ => self.room_in(now, demand),
+        let time_to_capacity = match code {
+            Code::OverShare => self.shares.time_to_capacity(now, &demand.organisation),
+            _ => self.time_to_capacity(now, demand),
         };
-        refuse(code, room_in.clamp(SOONEST_RETURN, LATEST_RETURN))
+        refuse(code, time_to_capacity.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY))
     }
 
-    fn wait(&mut self, demand: Demand, standing: Standing) {
-        let part = if standing == Standing::Within { WAIT_PART } else { WAIT_PART_BEYOND };
-        let span = demand.target.since(demand.arrived).0 as f64 * part;
-        let until = demand.arrived + Millis(span as u64);
-        self.waiting.push(Waiting { demand, standing, until });
+    fn enqueue(&mut self, demand: Demand, status: ShareStatus) {
+        let fraction =
+            if status == ShareStatus::Within { WAIT_FRACTION } else { WAIT_FRACTION_OVER_SHARE };
+        let span = demand.target.since(demand.arrived).0 as f64 * fraction;
+        let wait_until = demand.arrived + Millis(span as u64);
+        self.waiting.push(WaitingRequest { demand, status, wait_until });
     }
 
     /// Removes a waiting request whose caller has left.
@@ -140,30 +147,34 @@
     /// Starts waiting requests as far as there is capacity, and refuses those that have waited too
     /// long.
     pub fn poll(&mut self, now: Millis, out: &mut Vec<(RequestNo, Verdict)>) {
-        if self.waiting.is_empty() || now.since(self.polled) < MIN_POLL_INTERVAL {
+        if self.waiting.is_empty() || now.since(self.last_poll) < MIN_POLL_INTERVAL {
             return;
         }
-        self.polled = now;
+        self.last_poll = now;
         let mut waiting = std::mem::take(&mut self.waiting);
-        waiting.sort_by_key(|waiting| (waiting.standing, waiting.demand.target));
-        let max_looks = (MAX_UPSTREAM_LOOKS / self.upstreams.len().max(1)).clamp(1, MAX_LOOKS);
-        let mut looks = 0;
+        waiting.sort_by_key(|waiting| (waiting.status, waiting.demand.target));
+        let max_tries =
+            (MAX_COMPARISONS_PER_POLL / self.upstreams.len().max(1)).clamp(1, MAX_TRIES_PER_POLL);
+        let mut tries = 0;
         for waiting in waiting {
-            looks += 1;
-            let started = match looks <= max_looks {
-                true => self.start(now, &waiting.demand, waiting.standing),
-                false => Err(NoPlace::Full),
+            tries += 1;
+            let started = match tries <= max_tries {
+                true => self.start(now, &waiting.demand, waiting.status),
+                false => Err(PlacementError::Full),
             };
             let no = waiting.demand.no;
             match started {
                 Ok(verdict) => out.push((no, verdict)),
-                Err(NoPlace::Nobody) => {
-                    out.push((no, refuse(Code::NoUpstream, RETRY_AFTER_NOBODY)));
+                Err(PlacementError::NoUpstream) => {
+                    out.push((no, refuse(Code::NoUpstream, RETRY_AFTER_NO_UPSTREAM)));
                 }
-                Err(NoPlace::Full) if now >= waiting.until => {
-                    out.push((no, self.refuse_for_now(now, Code::DeadlineQueued, &waiting.demand)));
+                Err(PlacementError::Full) if now >= waiting.wait_until => {
+                    out.push((
+                        no,
+                        self.refuse_until_capacity(now, Code::DeadlineQueued, &waiting.demand),
+                    ));
                 }
-                Err(NoPlace::Full) => self.waiting.push(waiting),
+                Err(PlacementError::Full) => self.waiting.push(waiting),
             }
         }
     }
--- a/src/kingcupgrade/coordination/traffic/shares.rs
+++ b/src/kingcupgrade/coordination/traffic/shares.rs
@@ -7,82 +7,82 @@
 
 use std::collections::BTreeMap;
 
-use super::{fading::Fading, others::Told};
+use super::{decaying_sum::DecayingSum, peer_reports::PeerUsage};
 use crate::core::{Millis, Organisation};
 
 /// The time constant of the sums of tokens asked for and served. A longer one lets an organisation
 /// that was idle take all capacity for longer; a shorter one refuses requests that would fit a
 /// moment later.
-pub const SHARE_SPAN: Millis = Millis(2_500);
+pub const SHARE_TIME_CONSTANT: Millis = Millis(2_500);
 /// The interval at which the levels are recomputed: as often as reports arrive.
-const REFRESH: Millis = Millis(100);
+const REFRESH_INTERVAL: Millis = Millis(100);
 /// Beyond its promised share, an organisation gets at most this many times what the backlogged
 /// organisation that got least has got. Above 1, so that both can rise together; the ratio of any
 /// two stays below it.
-const GAP: f64 = 1.2;
+const MAX_LEAD: f64 = 1.2;
 /// The capacity that is assumed for even shares, as a multiple of what was served recently. When
 /// upstreams are lost, the promised capacity is not there, and an even share of it would let
 /// whoever comes first take everything. Above 1, so that the level rises again once the upstreams
 /// are back.
-const GROWTH: f64 = 1.15;
+const CAPACITY_GROWTH: f64 = 1.15;
 /// The time constant of the sums of refused tokens: an organisation whose refusals are older than
 /// this, and that is served now, doesn't limit the others.
-const REFUSED_SPAN: Millis = Millis(500);
+const REFUSED_TIME_CONSTANT: Millis = Millis(500);
 /// An organisation is backlogged if it asked for more than this many times what it got, asked for
 /// more than its promised share, and is being refused now. An organisation that gets most of what
 /// it asks for doesn't limit the others: a request of it may be refused for its size alone.
-const BACKLOG: f64 = 1.5;
+const BACKLOG_RATIO: f64 = 1.5;
 /// An organisation is being refused if more than this fraction of what it asks for is refused.
-const REFUSED_PART: f64 = 0.1;
+const MIN_REFUSED_FRACTION: f64 = 0.1;
 
-/// The standing of an organisation if it were given one more request.
+/// The share status of an organisation if it were given one more request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum ShareStatus {
     /// Within its share of the promised capacity, or of the capacity that is really served if that
     /// is less.
     Within,
     /// Beyond that share, but not far ahead of the backlogged organisation that got least.
-    Fair,
+    Spare,
     /// Beyond its share and far ahead of the backlogged organisation that got least.
-    Beyond,
+    Over,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Counts {
+struct OrganisationUsage {
     /// Tokens asked of all entries.
     asked: f64,
     /// Tokens served by the other entries, as last reported.
-    served_elsewhere: f64,
+    served_by_peers: f64,
     /// Tokens asked of the other entries for each token asked of this one.
-    asked_elsewhere: f64,
+    peer_demand_ratio: f64,
     /// Tokens refused by all entries.
     refused: f64,
 }
 
-impl Counts {
+impl OrganisationUsage {
     /// Returns whether a considerable fraction of what is asked for is being refused.
     fn is_refused(&self) -> bool {
-        let asked = self.asked * REFUSED_SPAN.0 as f64 / SHARE_SPAN.0 as f64;
-        self.refused > asked * REFUSED_PART
+        let asked = self.asked * REFUSED_TIME_CONSTANT.0 as f64 / SHARE_TIME_CONSTANT.0 as f64;
+        self.refused > asked * MIN_REFUSED_FRACTION
     }
 }
 
 /// The demand and usage of all organisations, as one entry knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
-    asked: BTreeMap<Organisation, Fading>,
-    served: BTreeMap<Organisation, Fading>,
+    asked: BTreeMap<Organisation, DecayingSum>,
+    served: BTreeMap<Organisation, DecayingSum>,
     /// What all entries served beyond the promised level while no organisation was backlogged.
-    spare: BTreeMap<Organisation, Fading>,
+    spare: BTreeMap<Organisation, DecayingSum>,
     /// What this entry served recently, with the age of the other entries' reports as time
     /// constant.
-    served_lately: BTreeMap<Organisation, Fading>,
-    refused: BTreeMap<Organisation, Fading>,
+    served_recently: BTreeMap<Organisation, DecayingSum>,
+    refused: BTreeMap<Organisation, DecayingSum>,
     /// The number of other entries.
-    others: usize,
+    peers: usize,
     /// The age of their reports.
-    age: Millis,
-    counts: BTreeMap<Organisation, Counts>,
+    report_age: Millis,
+    counts: BTreeMap<Organisation, OrganisationUsage>,
     /// The max-min level of the promised capacity, in tokens per time constant.
     promised_level: f64,
     /// The max-min level of the capacity that is really served, at most the promised level, in
@@ -91,78 +91,83 @@
     /// The level up to which an organisation gets capacity beyond its share, in tokens per time
     /// constant.
     spare_level: f64,
-    refreshed: Option<Millis>,
+    last_refresh: Option<Millis>,
 }
 
 impl Shares {
     /// Adds the work that a request asks for.
     pub fn on_asked(&mut self, now: Millis, organisation: &Organisation, work: f64) {
-        count(&mut self.asked, now, organisation, work, SHARE_SPAN);
+        add_work(&mut self.asked, now, organisation, work, SHARE_TIME_CONSTANT);
     }
 
     /// Adds work that is refused for lack of capacity or of a share.
     pub fn on_refused(&mut self, now: Millis, organisation: &Organisation, work: f64) {
-        count(&mut self.refused, now, organisation, work, REFUSED_SPAN);
+        add_work(&mut self.refused, now, organisation, work, REFUSED_TIME_CONSTANT);
     }
 
     /// Adds work that is served; negative to correct an earlier estimate that was too high.
     pub fn on_served(&mut self, now: Millis, organisation: &Organisation, work: f64) {
-        count(&mut self.served, now, organisation, work, SHARE_SPAN);
-        count(&mut self.served_lately, now, organisation, work, self.age);
+        add_work(&mut self.served, now, organisation, work, SHARE_TIME_CONSTANT);
+        add_work(&mut self.served_recently, now, organisation, work, self.report_age);
     }
 
     /// Sets the number of other entries and the age of their reports.
-    pub fn set_others(&mut self, count: usize, age: Millis) {
-        self.others = count;
-        self.age = age;
+    pub fn set_peers(&mut self, count: usize, report_age: Millis) {
+        self.peers = count;
+        self.report_age = report_age;
     }
 
     /// Recomputes the levels if that is due. `capacity` is the promised capacity, in tokens per
     /// second; 0 if none is promised.
-    pub fn refresh(&mut self, now: Millis, capacity: f64, others: &BTreeMap<Organisation, Told>) {
-        if self.refreshed.is_some_and(|at| now.since(at) < REFRESH) {
+    pub fn refresh(
+        &mut self,
+        now: Millis,
+        capacity: f64,
+        peers: &BTreeMap<Organisation, PeerUsage>,
+    ) {
+        if self.last_refresh.is_some_and(|at| now.since(at) < REFRESH_INTERVAL) {
             return;
         }
-        self.refreshed = Some(now);
+        self.last_refresh = Some(now);
         self.counts.clear();
         for (organisation, asked) in &self.asked {
             let counts = self.counts.entry(organisation.clone()).or_default();
-            counts.asked = asked.get(now, SHARE_SPAN);
+            counts.asked = asked.get(now, SHARE_TIME_CONSTANT);
         }
-        for (organisation, told) in others {
+        for (organisation, usage) in peers {
             let counts = self.counts.entry(organisation.clone()).or_default();
-            let elsewhere = told.asked.max(0.0) / counts.asked.max(1.0);
+            let ratio = usage.asked.max(0.0) / counts.asked.max(1.0);
             // The ratio is capped: if little is asked of this entry, one request says little about
             // the other entries.
-            counts.asked_elsewhere = elsewhere.min(self.others as f64);
-            counts.asked += told.asked;
-            counts.served_elsewhere += told.served;
-            counts.refused += told.refused;
+            counts.peer_demand_ratio = ratio.min(self.peers as f64);
+            counts.asked += usage.asked;
+            counts.served_by_peers += usage.served;
+            counts.refused += usage.refused;
         }
         for (organisation, refused) in &self.refused {
             let counts = self.counts.entry(organisation.clone()).or_default();
-            counts.refused += refused.get(now, REFUSED_SPAN);
+            counts.refused += refused.get(now, REFUSED_TIME_CONSTANT);
         }
         let asked: Vec<f64> = self.counts.values().map(|counts| counts.asked).collect();
-        let promised = capacity * SHARE_SPAN.0 as f64 / 1000.0;
+        let promised = capacity * SHARE_TIME_CONSTANT.0 as f64 / 1000.0;
         self.promised_level = max_min_level(asked.clone(), promised);
         let served: f64 = self
             .counts
             .iter()
-            .map(|(organisation, counts)| self.served_in_all(now, organisation, counts))
+            .map(|(organisation, counts)| self.total_served(now, organisation, counts))
             .sum();
-        self.even_level = self.promised_level.min(max_min_level(asked, served * GROWTH));
+        self.even_level = self.promised_level.min(max_min_level(asked, served * CAPACITY_GROWTH));
         let backlogged = self.counts.iter().filter_map(|(organisation, counts)| {
-            let served = self.served_in_all(now, organisation, counts);
+            let served = self.total_served(now, organisation, counts);
             let is_limited = counts.asked > self.promised_level;
-            let is_short = counts.asked > served * BACKLOG;
+            let is_short = counts.asked > served * BACKLOG_RATIO;
             let is_backlogged = is_limited && is_short && counts.is_refused();
             is_backlogged.then(|| self.charged(now, organisation, counts))
         });
         let least = backlogged.fold(f64::INFINITY, f64::min);
-        self.spare_level = self.promised_level.max(least * GAP);
+        self.spare_level = self.promised_level.max(least * MAX_LEAD);
         if least.is_infinite() {
-            self.set_spare(now);
+            self.update_spare(now);
         }
     }
 
@@ -170,54 +175,60 @@
     ///
     /// If it were charged to them, it would keep them from their share for seconds once others are
     /// backlogged.
-    fn set_spare(&mut self, now: Millis) {
+    fn update_spare(&mut self, now: Millis) {
         self.spare.clear();
         for (organisation, counts) in &self.counts {
-            let beyond = self.served_in_all(now, organisation, counts) - self.promised_level;
+            let beyond = self.total_served(now, organisation, counts) - self.promised_level;
             if beyond > 0.0 {
-                count(&mut self.spare, now, organisation, beyond, SHARE_SPAN);
+                add_work(&mut self.spare, now, organisation, beyond, SHARE_TIME_CONSTANT);
             }
         }
     }
 
-    /// Returns the standing of an organisation if it were given a request of `work`.
-    pub fn standing(&self, now: Millis, organisation: &Organisation, work: f64) -> Standing {
-        let Some(counts) = self.counts.get(organisation) else { return Standing::Within };
+    /// Returns the share status of an organisation if it were given a request of `work`.
+    pub fn status(&self, now: Millis, organisation: &Organisation, work: f64) -> ShareStatus {
+        let Some(counts) = self.counts.get(organisation) else { return ShareStatus::Within };
         let before = self.charged(now, organisation, counts)
             + self.served_elsewhere_since(now, organisation, counts);
         // Half of the request counts, so that a request larger than a share isn't refused forever.
         let served = before + work / 2.0;
         if counts.asked <= self.even_level || served <= self.even_level {
-            return Standing::Within;
+            return ShareStatus::Within;
         }
         // The request itself doesn't count: the organisation that got least is never refused for
         // the size of a request.
         if counts.asked <= self.promised_level || before <= self.spare_level {
-            Standing::Fair
+            ShareStatus::Spare
         } else {
-            Standing::Beyond
+            ShareStatus::Over
         }
     }
 
     /// Returns the time until an organisation that is over its share may be served again, if it
     /// gets nothing until then.
-    pub fn room_in(&self, now: Millis, organisation: &Organisation) -> Millis {
+    pub fn time_to_capacity(&self, now: Millis, organisation: &Organisation) -> Millis {
         let Some(counts) = self.counts.get(organisation) else { return Millis::ZERO };
         let charged = self.charged(now, organisation, counts);
         let level = self.spare_level.max(1.0);
         let spans = (charged / level).max(1.0).ln();
-        Millis((spans * SHARE_SPAN.0 as f64) as u64)
+        Millis((spans * SHARE_TIME_CONSTANT.0 as f64) as u64)
     }
 
     /// Returns the tokens served to an organisation by all entries, without what was spare.
-    fn charged(&self, now: Millis, organisation: &Organisation, counts: &Counts) -> f64 {
-        let spare = self.spare.get(organisation).map_or(0.0, |spare| spare.get(now, SHARE_SPAN));
-        (self.served_in_all(now, organisation, counts) - spare).max(0.0)
+    fn charged(&self, now: Millis, organisation: &Organisation, counts: &OrganisationUsage) -> f64 {
+        let spare =
+            self.spare.get(organisation).map_or(0.0, |spare| spare.get(now, SHARE_TIME_CONSTANT));
+        (self.total_served(now, organisation, counts) - spare).max(0.0)
     }
 
     /// Returns the tokens served to an organisation by all entries.
-    fn served_in_all(&self, now: Millis, organisation: &Organisation, counts: &Counts) -> f64 {
-        counts.served_elsewhere + self.own(now, organisation)
+    fn total_served(
+        &self,
+        now: Millis,
+        organisation: &Organisation,
+        counts: &OrganisationUsage,
+    ) -> f64 {
+        counts.served_by_peers + self.own_served(now, organisation)
     }
 
     /// Estimates the tokens that the other entries served to an organisation since their last
@@ -231,60 +242,60 @@
         &self,
         now: Millis,
         organisation: &Organisation,
-        counts: &Counts,
+        counts: &OrganisationUsage,
     ) -> f64 {
-        let own = self.served_lately.get(organisation);
-        let own = own.map_or(0.0, |served| served.get(now, self.age).max(0.0));
-        own * counts.asked_elsewhere
+        let own_served = self.served_recently.get(organisation);
+        let own_served = own_served.map_or(0.0, |served| served.get(now, self.report_age).max(0.0));
+        own_served * counts.peer_demand_ratio
     }
 
     /// Returns the tokens served to an organisation by this entry.
-    fn own(&self, now: Millis, organisation: &Organisation) -> f64 {
-        self.served.get(organisation).map_or(0.0, |served| served.get(now, SHARE_SPAN))
+    fn own_served(&self, now: Millis, organisation: &Organisation) -> f64 {
+        self.served.get(organisation).map_or(0.0, |served| served.get(now, SHARE_TIME_CONSTANT))
     }
 
     /// Returns the tokens that each organisation recently asked of this entry.
     pub fn asked(&self, now: Millis) -> Vec<(Organisation, f32)> {
-        told(&self.asked, now, SHARE_SPAN)
+        current_sums(&self.asked, now, SHARE_TIME_CONSTANT)
     }
 
     /// Returns the tokens that this entry recently served to each organisation.
     pub fn served(&self, now: Millis) -> Vec<(Organisation, f32)> {
-        told(&self.served, now, SHARE_SPAN)
+        current_sums(&self.served, now, SHARE_TIME_CONSTANT)
     }
 
     /// Returns the tokens that this entry recently refused to each organisation.
     pub fn refused(&self, now: Millis) -> Vec<(Organisation, f32)> {
-        told(&self.refused, now, REFUSED_SPAN)
+        current_sums(&self.refused, now, REFUSED_TIME_CONSTANT)
     }
 }
 
-fn count(
-    counts: &mut BTreeMap<Organisation, Fading>,
+fn add_work(
+    counts: &mut BTreeMap<Organisation, DecayingSum>,
     now: Millis,
     organisation: &Organisation,
     work: f64,
-    span: Millis,
+    time_constant: Millis,
 ) {
     match counts.get_mut(organisation) {
-        Some(count) => count.add(now, work, span),
+        Some(sum) => sum.add(now, work, time_constant),
         None => {
-            let mut count = Fading::default();
-            count.add(now, work, span);
-            counts.insert(organisation.clone(), count);
+            let mut sum = DecayingSum::default();
+            sum.add(now, work, time_constant);
+            counts.insert(organisation.clone(), sum);
         }
     }
 }
 
-fn told(
-    counts: &BTreeMap<Organisation, Fading>,
+fn current_sums(
+    counts: &BTreeMap<Organisation, DecayingSum>,
     now: Millis,
-    span: Millis,
+    time_constant: Millis,
 ) -> Vec<(Organisation, f32)> {
-    let now_counts = counts
-        .iter()
-        .map(|(organisation, count)| (organisation.clone(), count.get(now, span).max(0.0) as f32));
-    now_counts.filter(|(_, count)| *count >= 1.0).collect()
+    let sums = counts.iter().map(|(organisation, sum)| {
+        (organisation.clone(), sum.get(now, time_constant).max(0.0) as f32)
+    });
+    sums.filter(|(_, sum)| *sum >= 1.0).collect()
 }
 
 /// Returns the max-min level: the amount up to which each demand is met so that all together get
@@ -292,14 +303,14 @@
 fn max_min_level(mut asked: Vec<f64>, capacity: f64) -> f64 {
     asked.sort_by(f64::total_cmp);
     let mut left = capacity;
-    let mut others = asked.len();
+    let mut remaining = asked.len();
     for amount in asked {
-        let even = left / others as f64;
+        let even = left / remaining as f64;
         if amount > even {
             return even;
         }
         left -= amount;
-        others -= 1;
+        remaining -= 1;
     }
     f64::INFINITY
 }
--- a/src/kingcupgrade/coordination/traffic/upstream.rs
+++ b/src/kingcupgrade/coordination/traffic/upstream.rs
@@ -10,36 +10,36 @@
 
 /// A prompt part that was not used for this long is assumed to be evicted, though the engine may
 /// still cache it.
-const KEPT_SPAN: Millis = Millis(30_000);
+const CACHE_TTL: Millis = Millis(30_000);
 /// The limit of prompt parts that are remembered for one upstream.
-const MAX_KEPT: usize = 4_000;
+const MAX_CACHED_PARTS: usize = 4_000;
 /// A load report on an answer is ignored after this long: plain requests take some ten
 /// milliseconds, and an upstream that was full once would look full until its next answer.
-const REPORT_SPAN: Millis = Millis(50);
+const REPORT_TTL: Millis = Millis(50);
 
 /// A part in use is announced again after this long, for entries that have restarted and know
 /// nothing.
-const TELL_AGAIN: Millis = Millis(10_000);
+const ANNOUNCE_INTERVAL: Millis = Millis(10_000);
 
 /// A part of a prompt that an upstream has cached.
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct CachedPart {
     used: Millis,
     /// When the part was last announced to the other entries; `None` if never, as for parts that no
     /// other request shares.
-    told: Option<Millis>,
+    announced: Option<Millis>,
 }
 
 /// A token bucket of at most one token that limits the request rate to a cold upstream.
 #[derive(Clone, Debug, Default)]
-struct ColdMeter {
+struct ColdBucket {
     tokens: f64,
     at: Millis,
 }
 
-impl Kept {
-    fn counts(&self, now: Millis) -> bool {
-        now.since(self.used) <= KEPT_SPAN
+impl CachedPart {
+    fn is_valid(&self, now: Millis) -> bool {
+        now.since(self.used) <= CACHE_TTL
     }
 }
 
@@ -55,15 +55,15 @@
     /// The load of this entry's requests.
     pub own: Load,
     /// The load of the other entries' requests.
-    pub others: Load,
+    pub peers: Load,
     /// This entry's prompts that the upstream has not read.
     pub backlog: Backlog,
     /// The upstream's health.
     pub health: Health,
-    meter: ColdMeter,
+    cold_bucket: ColdBucket,
     /// The running and waiting requests that the upstream last reported, and when it did.
     reported: Option<(u32, u32, Millis)>,
-    kept: HashMap<u64, Kept>,
+    cached: HashMap<u64, CachedPart>,
 }
 
 impl Upstream {
@@ -72,35 +72,36 @@
         Upstream {
             cold_until: now + listed.cold,
             is_leaving: !listed.is_ready,
-            meter: ColdMeter { tokens: 0.0, at: now },
+            cold_bucket: ColdBucket { tokens: 0.0, at: now },
             listed,
             own: Load::default(),
-            others: Load::default(),
+            peers: Load::default(),
             backlog: Backlog::default(),
             health: Health::default(),
             reported: None,
-            kept: HashMap::new(),
+            cached: HashMap::new(),
         }
     }
 
     /// Applies a newer listing. If the upstream has restarted since, its cache, health and reported
     /// load are reset.
     pub fn relist(&mut self, now: Millis, listed: ListedUpstream) {
-        let is_reborn = listed.born != self.listed.born || listed.address != self.listed.address;
-        if is_reborn {
-            self.kept.clear();
+        let has_restarted =
+            listed.born != self.listed.born || listed.address != self.listed.address;
+        if has_restarted {
+            self.cached.clear();
             self.health = Health::default();
             self.reported = None;
         }
         if listed.cold > Millis::ZERO {
             if !self.is_cold(now) {
-                self.meter = ColdMeter { tokens: 0.0, at: now };
+                self.cold_bucket = ColdBucket { tokens: 0.0, at: now };
             }
             self.cold_until = now + listed.cold;
         }
         // An upstream that leaves doesn't become ready again without a restart. A list that shows
         // it as ready was delayed, and requests sent on its account would be cut off.
-        let has_left = !is_reborn && self.is_leaving;
+        let has_left = !has_restarted && self.is_leaving;
         self.is_leaving = has_left || !listed.is_ready;
         self.listed = listed;
         self.listed.is_ready &= !has_left;
@@ -113,9 +114,9 @@
 
     /// Returns the number of requests of all entries under way at the upstream, as far as known.
     pub fn running(&self, now: Millis) -> u32 {
-        let known = self.own.running + self.others.running;
+        let known = self.own.running + self.peers.running;
         match self.reported {
-            Some((running, waiting, at)) if now.since(at) <= REPORT_SPAN => {
+            Some((running, waiting, at)) if now.since(at) <= REPORT_TTL => {
                 known.max(running + waiting)
             }
             _ => known,
@@ -124,21 +125,21 @@
 
     /// Advances the estimate of unread prompts; the read rate, in tokens per millisecond, is
     /// divided between the entries in proportion to their unread prompts.
-    pub fn let_read(&mut self, now: Millis, rate: f64) {
+    pub fn advance_reading(&mut self, now: Millis, rate: f64) {
         let own = self.backlog.tokens() as f64;
-        let part = own / (own + self.others.unread as f64).max(1.0);
+        let part = own / (own + self.peers.unread as f64).max(1.0);
         self.backlog.read(now, rate * part);
         self.own.unread = self.backlog.tokens();
     }
 
     /// Returns the number of unread prompt tokens, as far as known.
     pub fn unread(&self) -> u64 {
-        self.own.unread + self.others.unread
+        self.own.unread + self.peers.unread
     }
 
     /// Returns the memory that all requests under way will use at their end, in tokens.
     pub fn memory(&self) -> u64 {
-        self.own.memory + self.others.memory
+        self.own.memory + self.peers.memory
     }
 
     /// Records the load that the upstream reported on an answer.
@@ -148,68 +149,70 @@
 
     /// Returns whether requests were waiting at the upstream when it last answered.
     pub fn has_waiting(&self, now: Millis) -> bool {
-        self.reported.is_some_and(|(_, waiting, at)| waiting > 0 && now.since(at) <= REPORT_SPAN)
+        self.reported.is_some_and(|(_, waiting, at)| waiting > 0 && now.since(at) <= REPORT_TTL)
     }
 
     /// Returns the number of prompt tokens that the upstream has to read: all from the first part
     /// on that it has not cached.
-    pub fn unread_of(&self, now: Millis, demand: &Demand) -> u64 {
-        let is_kept = |id: u64| self.kept.get(&id).is_some_and(|kept| kept.counts(now));
-        let unread = demand.prompt.iter().skip_while(|part| is_kept(part.id));
+    pub fn uncached_tokens(&self, now: Millis, demand: &Demand) -> u64 {
+        let is_cached = |id: u64| self.cached.get(&id).is_some_and(|cached| cached.is_valid(now));
+        let unread = demand.prompt.iter().skip_while(|part| is_cached(part.id));
         unread.map(|part| u64::from(part.tokens)).sum()
     }
 
     /// Records that the upstream caches a prompt; returns the shared parts that are to be announced
     /// to the other entries.
-    pub fn keep(&mut self, now: Millis, demand: &Demand) -> Vec<u64> {
-        self.forget_unused(now);
-        let mut news = Vec::new();
+    pub fn record_prompt(&mut self, now: Millis, demand: &Demand) -> Vec<u64> {
+        self.evict_unused(now);
+        let mut announcements = Vec::new();
         let shared = demand.prompt.len().saturating_sub(1);
-        for (place, part) in demand.prompt.iter().enumerate() {
-            let kept = self.kept.entry(part.id).or_insert(Kept { used: now, told: None });
-            kept.used = now;
-            let is_due = kept.told.is_none_or(|told| now.since(told) >= TELL_AGAIN);
-            if place < shared && is_due {
-                kept.told = Some(now);
-                news.push(part.id);
+        for (position, part) in demand.prompt.iter().enumerate() {
+            let cached =
+                self.cached.entry(part.id).or_insert(CachedPart { used: now, announced: None });
+            cached.used = now;
+            let is_due =
+                cached.announced.is_none_or(|announced| now.since(announced) >= ANNOUNCE_INTERVAL);
+            if position < shared && is_due {
+                cached.announced = Some(now);
+                announcements.push(part.id);
             }
         }
-        news
+        announcements
     }
 
     /// Records cached parts that another entry announced.
-    pub fn on_kept(&mut self, now: Millis, parts: &[u64]) {
-        self.forget_unused(now);
+    pub fn on_announced_parts(&mut self, now: Millis, parts: &[u64]) {
+        self.evict_unused(now);
         for id in parts {
-            self.kept.insert(*id, Kept { used: now, told: Some(now) });
+            self.cached.insert(*id, CachedPart { used: now, announced: Some(now) });
         }
     }
 
-    fn forget_unused(&mut self, now: Millis) {
-        if self.kept.len() > MAX_KEPT {
-            self.kept.retain(|_, kept| kept.counts(now));
+    fn evict_unused(&mut self, now: Millis) {
+        if self.cached.len() > MAX_CACHED_PARTS {
+            self.cached.retain(|_, cached| cached.is_valid(now));
         }
-        if self.kept.len() > MAX_KEPT {
-            self.kept.clear();
+        if self.cached.len() > MAX_CACHED_PARTS {
+            self.cached.clear();
         }
     }
 
     /// Returns whether this entry may send one more request to a cold upstream; `rate` is its share
     /// of the rate, in requests per second.
-    pub fn has_cold_room(&mut self, now: Millis, rate: f64) -> bool {
+    pub fn allows_cold_request(&mut self, now: Millis, rate: f64) -> bool {
         self.refill(now, rate);
-        self.meter.tokens >= 1.0
+        self.cold_bucket.tokens >= 1.0
     }
 
     /// Takes a token for a request to a cold upstream.
-    pub fn spend_cold(&mut self, now: Millis, rate: f64) {
+    pub fn take_cold_token(&mut self, now: Millis, rate: f64) {
         self.refill(now, rate);
-        self.meter.tokens -= 1.0;
+        self.cold_bucket.tokens -= 1.0;
     }
 
     fn refill(&mut self, now: Millis, rate: f64) {
-        let gained = now.since(self.meter.at).0 as f64 / 1000.0 * rate;
-        self.meter.at = now;
-        self.meter.tokens = (self.meter.tokens + gained).min(1.0);
+        let refilled = now.since(self.cold_bucket.at).0 as f64 / 1000.0 * rate;
+        self.cold_bucket.at = now;
+        self.cold_bucket.tokens = (self.cold_bucket.tokens + refilled).min(1.0);
     }
 }
--- a/tests/testsuite/traffic.rs
+++ b/tests/testsuite/traffic.rs
@@ -232,8 +232,8 @@
     for _ in 0..20 {
         health.on_failure(Millis(100), 0.0);
     }
-    assert!(health.is_aside(Millis(100)));
-    assert!(!health.is_aside(Millis(10_000)), "nobody would try it again");
+    assert!(health.is_ejected(Millis(100)));
+    assert!(!health.is_ejected(Millis(10_000)), "nobody would try it again");
 
     let mut all_fail = traffic(1e9, 3);
     let mut no = 0;
@@ -259,7 +259,7 @@
         } else {
             health.on_answer();
         }
-        assert!(!health.is_aside(Millis(no + 1)));
+        assert!(!health.is_ejected(Millis(no + 1)));
     }
 }
 
