--- a/src/kingcupgrade/coordination/fleet/joining.rs
+++ b/src/kingcupgrade/coordination/fleet/discovery.rs
@@ -3,7 +3,7 @@
 
 use super::{
     FleetNode, FleetOutput,
-    roster::{Joined, Told},
+    roster::{Announcement, RosterUpdate},
 };
 use crate::{
     core::{Instance, Millis},
@@ -14,17 +14,18 @@
 };
 
 /// The interval at which an instance announces itself.
-const JOIN_INTERVAL: Millis = Millis(1_000);
+const ANNOUNCE_INTERVAL: Millis = Millis(1_000);
 /// The same interval while it knows no entry: when a whole fleet starts, most of the others don't
 /// listen yet.
-const FIRST_JOIN_INTERVAL: Millis = Millis(200);
+const FIRST_ANNOUNCE_INTERVAL: Millis = Millis(200);
 
 impl FleetNode {
     /// Announces this instance to all control instances.
-    pub(super) fn join(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<FleetOutput>) {
+    pub(super) fn announce(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<FleetOutput>) {
         let started = *self.started.get_or_insert(unix_ms);
-        let is_alone = self.roster.entries().is_empty();
-        self.next_join = now + if is_alone { FIRST_JOIN_INTERVAL } else { JOIN_INTERVAL };
+        let knows_nobody = self.roster.entries().is_empty();
+        self.next_announcement =
+            now + if knows_nobody { FIRST_ANNOUNCE_INTERVAL } else { ANNOUNCE_INTERVAL };
         for control in self.roster.controls() {
             if control == self.instance {
                 continue;
@@ -32,7 +33,7 @@
             let join = FleetMessage::Join {
                 domain: self.settings.failure_domain.clone(),
                 leaving: self.draining,
-                known: self.roster.number_told_by(&control),
+                known: self.roster.number_from(&control),
                 started,
             };
             out.push(FleetOutput::Send(control, Message::Fleet(join)));
@@ -41,14 +42,14 @@
 
     /// Records the announcement of an instance. A control instance reports if it runs in a new
     /// process.
-    pub(super) fn on_join(
+    pub(super) fn on_announcement(
         &mut self,
         now: Millis,
         from: &Instance,
-        join: &Joined,
+        announcement: &Announcement,
         out: &mut Vec<FleetOutput>,
     ) {
-        let restarts = self.roster.on_join(now, from, join);
+        let restarts = self.roster.on_announcement(now, from, announcement);
         if let Some(restarts) = restarts.filter(|_| self.control.is_some()) {
             out.push(FleetOutput::Restarted { instance: from.clone(), restarts });
         }
@@ -56,7 +57,7 @@
 
     /// Answers an announcement with the roster, or with its number alone if the instance knows it
     /// already.
-    pub(super) fn answer_join(
+    pub(super) fn answer_announcement(
         &mut self,
         unix_ms: u64,
         from: &Instance,
@@ -71,27 +72,27 @@
         controls.push(self.instance.clone());
         controls.sort();
         controls.dedup();
-        let told = self.roster.tell(unix_ms, controls);
-        let answer = match told.number == known {
+        let update = self.roster.next_update(unix_ms, controls);
+        let answer = match update.number == known {
             true => FleetMessage::SameRoster(known),
             false => {
-                let Told { number, entries, controls } = told.clone();
+                let RosterUpdate { number, entries, controls } = update.clone();
                 FleetMessage::Roster { number, entries, controls }
             }
         };
         out.push(FleetOutput::Send(from.clone(), Message::Fleet(answer)));
     }
 
-    pub(super) fn tell_entries(&mut self, out: &mut Vec<FleetOutput>) {
+    pub(super) fn publish_entries(&mut self, out: &mut Vec<FleetOutput>) {
         let digest = self.roster.digest();
-        if digest == self.told_digest {
+        if digest == self.published_digest {
             return;
         }
-        self.told_digest = digest;
+        self.published_digest = digest;
         let controls = self.roster.controls();
         self.client.set_instances(controls, self.neighbours());
         let residents = self.roster.entries();
-        self.totals.set_residents(&self.instance, &self.settings.failure_domain, &residents);
+        self.load_exchange.set_residents(&self.instance, &self.settings.failure_domain, &residents);
         out.push(FleetOutput::Entries(self.roster.entries()));
     }
 
--- a/src/kingcupgrade/coordination/fleet/io.rs
+++ b/src/kingcupgrade/coordination/fleet/io.rs
@@ -71,7 +71,7 @@
     /// configuration is confirmed.
     SourceChanged(ConfigurationSource),
     /// This control instance's state in the consensus on the record changed.
-    StandingChanged(RecordStanding),
+    RecordStatusChanged(RecordStatus),
     /// An instance was seen to run in a new process.
     Restarted {
         /// The instance that restarted.
@@ -96,7 +96,7 @@
 
 /// A control instance's state in the consensus on the record, for the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct RecordStanding {
+pub struct RecordStatus {
     /// The current term.
     pub term: u64,
     /// The leader that it follows; itself if it leads; `None` if none is known.
--- a/src/kingcupgrade/coordination/fleet/listing.rs
+++ b/src/kingcupgrade/coordination/fleet/listing.rs
@@ -18,16 +18,16 @@
         duty: ListingDuty,
         out: &mut Vec<FleetOutput>,
     ) {
-        let hearers = match duty {
+        let receivers = match duty {
             ListingDuty::Reads => self.neighbours(),
             ListingDuty::StandsIn | ListingDuty::StandsInSecond => self.domain_neighbours(),
             ListingDuty::Hears => return,
         };
-        out.push(FleetOutput::SendToAll(hearers, Message::Fleet(FleetMessage::Listing(news))));
+        out.push(FleetOutput::SendToAll(receivers, Message::Fleet(FleetMessage::Listing(news))));
     }
 
     /// Requests the whole list from one entry, or from all that may know it.
-    pub(super) fn want_listing(&mut self, from: Option<Instance>, out: &mut Vec<FleetOutput>) {
+    pub(super) fn request_listing(&mut self, from: Option<Instance>, out: &mut Vec<FleetOutput>) {
         let asked = from.map_or_else(|| self.listing_readers(), |from| vec![from]);
         out.push(FleetOutput::SendToAll(asked, Message::Fleet(FleetMessage::ListingWanted)));
     }
--- a/src/kingcupgrade/coordination/fleet/totals.rs
+++ b/src/kingcupgrade/coordination/fleet/load_exchange.rs
@@ -21,7 +21,7 @@
 };
 
 /// Up to this size of a fleet each entry sends to all others: some hundred messages per second.
-const MESH_MOST: usize = 16;
+const MAX_MESH_ENTRIES: usize = 16;
 /// The number of collectors in a failure domain.
 const COLLECTORS: usize = 2;
 /// The key of the rendezvous hash that selects the collectors.
@@ -32,27 +32,27 @@
 const MESH_INTERVAL: Millis = Millis(100);
 /// The minimum of the same interval with collectors: each of the two collectors sends at this
 /// interval, so totals arrive twice as often.
-const COLLECTED_INTERVAL: Millis = Millis(200);
+const MIN_COLLECTOR_INTERVAL: Millis = Millis(200);
 /// The interval per entry of the fleet, so that a collector receives and sends a few hundred
 /// messages per second at most.
 const INTERVAL_PER_ENTRY: Millis = Millis(2);
 /// The minimum time for which a report or a sum is valid: one or two may be lost.
-const TTL: Millis = Millis(1_500);
+const MIN_REPORT_TTL: Millis = Millis(1_500);
 /// The minimum number of intervals for which a report or a sum is valid.
-const TTL_INTERVALS: u64 = 4;
+const MIN_REPORT_TTL_INTERVALS: u64 = 4;
 /// The number of own reports that are remembered, to be subtracted from totals: more than are sent
 /// while a total is on its way.
-const OWN_REPORTS: usize = 32;
+const MAX_OWN_REPORTS: usize = 32;
 /// The name under which the total of all other entries is delivered, in place of the sender of a
 /// report.
-const TOTAL: &str = "total";
+const TOTAL_SENDER: &str = "total";
 
 /// Returns the interval at which an entry sends its report in a fleet of `entries`.
 pub fn share_interval(entries: usize) -> Millis {
-    if entries <= MESH_MOST {
+    if entries <= MAX_MESH_ENTRIES {
         return MESH_INTERVAL;
     }
-    COLLECTED_INTERVAL.max(Millis(INTERVAL_PER_ENTRY.0 * entries as u64))
+    MIN_COLLECTOR_INTERVAL.max(Millis(INTERVAL_PER_ENTRY.0 * entries as u64))
 }
 
 /// Returns the approximate age of what an entry knows of the others in a fleet of `entries`: a
@@ -60,33 +60,33 @@
 /// also waits at two of them.
 pub fn report_age(entries: usize) -> Millis {
     let interval = share_interval(entries).0;
-    if entries <= MESH_MOST { Millis(interval / 2) } else { Millis(interval * 3 / 2) }
+    if entries <= MAX_MESH_ENTRIES { Millis(interval / 2) } else { Millis(interval * 3 / 2) }
 }
 
 /// Returns how long a report is valid in a fleet of `entries`.
 pub fn report_ttl(entries: usize) -> Millis {
-    TTL.max(Millis(share_interval(entries).0 * TTL_INTERVALS))
+    MIN_REPORT_TTL.max(Millis(share_interval(entries).0 * MIN_REPORT_TTL_INTERVALS))
 }
 
 /// The entries that this entry sends to, derived from the roster.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Layout {
+struct Topology {
     /// The number of entries in the fleet.
     entries: usize,
     /// The entries that this entry sends its reports to.
-    hearers: Vec<Instance>,
+    receivers: Vec<Instance>,
     /// The other entries of this failure domain, if this entry is a collector.
     members: Option<Vec<Instance>>,
     /// The collectors of the other failure domains.
-    far_collectors: Vec<Instance>,
+    remote_collectors: Vec<Instance>,
 }
 
-impl Layout {
-    fn new(own: &Instance, own_domain: &FailureDomain, residents: &[Resident]) -> Layout {
+impl Topology {
+    fn new(own: &Instance, own_domain: &FailureDomain, residents: &[Resident]) -> Topology {
         let others = residents.iter().filter(|Resident(entry, _)| entry != own);
-        if residents.len() <= MESH_MOST {
-            let hearers = others.map(|Resident(entry, _)| entry.clone()).collect();
-            return Layout { entries: residents.len(), hearers, ..Layout::default() };
+        if residents.len() <= MAX_MESH_ENTRIES {
+            let receivers = others.map(|Resident(entry, _)| entry.clone()).collect();
+            return Topology { entries: residents.len(), receivers, ..Topology::default() };
         }
         let mut domains: BTreeMap<&FailureDomain, Vec<Instance>> = BTreeMap::new();
         domains.entry(own_domain).or_default().push(own.clone());
@@ -98,25 +98,26 @@
             ranked.truncate(COLLECTORS);
             ranked
         };
-        let here = domains.remove(own_domain).unwrap_or_default();
-        let near = collectors(&here);
-        let members: Vec<Instance> = here.into_iter().filter(|entry| entry != own).collect();
-        Layout {
+        let local_entries = domains.remove(own_domain).unwrap_or_default();
+        let local_collectors = collectors(&local_entries);
+        let members: Vec<Instance> =
+            local_entries.into_iter().filter(|entry| entry != own).collect();
+        Topology {
             entries: residents.len(),
-            members: near.contains(own).then_some(members),
-            hearers: near.into_iter().filter(|entry| entry != own).collect(),
-            far_collectors: domains.values().flat_map(|entries| collectors(entries)).collect(),
+            members: local_collectors.contains(own).then_some(members),
+            receivers: local_collectors.into_iter().filter(|entry| entry != own).collect(),
+            remote_collectors: domains.values().flat_map(|entries| collectors(entries)).collect(),
         }
     }
 
     fn is_mesh(&self) -> bool {
-        self.entries <= MESH_MOST
+        self.entries <= MAX_MESH_ENTRIES
     }
 }
 
 /// An action for the node to carry out.
 #[derive(Debug)]
-pub(super) enum TotalsOutput {
+pub(super) enum LoadExchangeOutput {
     /// Send a message to several entries.
     SendToAll(Vec<Instance>, Message),
     /// Other entries have this load under way.
@@ -125,8 +126,8 @@
 
 /// The reports and sums known to one entry.
 #[derive(Debug, Default)]
-pub(super) struct Totals {
-    layout: Layout,
+pub(super) struct LoadExchange {
+    topology: Topology,
     own: VecDeque<LoadReport>,
     next_number: u32,
     /// The reports of the other entries of this failure domain, if this entry is a collector.
@@ -134,12 +135,12 @@
     /// The sums of the other failure domains.
     domains: BTreeMap<FailureDomain, (Millis, LoadReport)>,
     /// Cached prompt parts that entries of this failure domain announced, not passed on yet.
-    kept_here: Vec<KeptParts>,
+    local_cached_parts: Vec<KeptParts>,
     /// The same that collectors of other failure domains announced.
-    kept_elsewhere: Vec<KeptParts>,
+    remote_cached_parts: Vec<KeptParts>,
 }
 
-impl Totals {
+impl LoadExchange {
     /// Updates the topology from the entries of the fleet.
     pub(super) fn set_residents(
         &mut self,
@@ -147,7 +148,7 @@
         domain: &FailureDomain,
         residents: &[Resident],
     ) {
-        self.layout = Layout::new(own, domain, residents);
+        self.topology = Topology::new(own, domain, residents);
     }
 
     /// Sends this entry's report, and the sums if it is a collector.
@@ -157,36 +158,36 @@
         own: &Instance,
         domain: &FailureDomain,
         mut report: LoadReport,
-        out: &mut Vec<TotalsOutput>,
+        out: &mut Vec<LoadExchangeOutput>,
     ) {
         report.number = self.next_number;
         self.next_number = self.next_number.wrapping_add(1);
         let message = Message::Fleet(FleetMessage::Load(report.clone()));
-        out.push(TotalsOutput::SendToAll(self.layout.hearers.clone(), message));
-        if self.layout.is_mesh() {
+        out.push(LoadExchangeOutput::SendToAll(self.topology.receivers.clone(), message));
+        if self.topology.is_mesh() {
             return;
         }
-        if self.layout.members.is_some() {
-            add_news(&mut self.kept_here, &mut report.kept);
+        if self.topology.members.is_some() {
+            add_announcements(&mut self.local_cached_parts, &mut report.kept);
         }
         self.own.push_back(report);
-        if self.own.len() > OWN_REPORTS {
+        if self.own.len() > MAX_OWN_REPORTS {
             self.own.pop_front();
         }
-        if let Some(members) = self.layout.members.clone() {
-            self.tell_sums(now, own, domain, members, out);
+        if let Some(members) = self.topology.members.clone() {
+            self.send_sums(now, own, domain, members, out);
         }
     }
 
-    fn tell_sums(
+    fn send_sums(
         &mut self,
         now: Millis,
         own: &Instance,
         domain: &FailureDomain,
         members: Vec<Instance>,
-        out: &mut Vec<TotalsOutput>,
+        out: &mut Vec<LoadExchangeOutput>,
     ) {
-        let ttl = report_ttl(self.layout.entries);
+        let ttl = report_ttl(self.topology.entries);
         self.members.retain(|_, (at, _)| now.since(*at) <= ttl);
         self.domains.retain(|_, (at, _)| now.since(*at) <= ttl);
         let mut sum = Sum::default();
@@ -199,21 +200,24 @@
             sum.add(report, 1);
             parts.push((own.clone(), report.number));
         }
-        let here = std::mem::take(&mut self.kept_here);
-        let domain_sum = LoadReport { kept: here.clone(), ..sum.to_report() };
+        let local_parts = std::mem::take(&mut self.local_cached_parts);
+        let domain_sum = LoadReport { kept: local_parts.clone(), ..sum.to_report() };
         let message = FleetMessage::DomainSum(domain.clone(), domain_sum);
-        out.push(TotalsOutput::SendToAll(
-            self.layout.far_collectors.clone(),
+        out.push(LoadExchangeOutput::SendToAll(
+            self.topology.remote_collectors.clone(),
             Message::Fleet(message),
         ));
         for (_, report) in self.domains.values() {
             sum.add(report, 1);
         }
-        let mut kept = std::mem::take(&mut self.kept_elsewhere);
-        kept.extend(here);
+        let mut kept = std::mem::take(&mut self.remote_cached_parts);
+        kept.extend(local_parts);
         let total = Total { report: LoadReport { kept, ..sum.to_report() }, parts };
         out.extend(self.on_total(own, &total));
-        out.push(TotalsOutput::SendToAll(members, Message::Fleet(FleetMessage::Total(total))));
+        out.push(LoadExchangeOutput::SendToAll(
+            members,
+            Message::Fleet(FleetMessage::Total(total)),
+        ));
     }
 
     /// Handles another entry's report.
@@ -222,12 +226,12 @@
         now: Millis,
         from: &Instance,
         mut report: LoadReport,
-    ) -> Option<TotalsOutput> {
-        if self.layout.is_mesh() {
-            return Some(TotalsOutput::Heard(from.clone(), report));
+    ) -> Option<LoadExchangeOutput> {
+        if self.topology.is_mesh() {
+            return Some(LoadExchangeOutput::Heard(from.clone(), report));
         }
-        if self.layout.members.is_some() {
-            add_news(&mut self.kept_here, &mut report.kept);
+        if self.topology.members.is_some() {
+            add_announcements(&mut self.local_cached_parts, &mut report.kept);
         }
         self.members.insert(from.clone(), (now, report));
         None
@@ -240,14 +244,14 @@
         domain: FailureDomain,
         mut sum: LoadReport,
     ) {
-        if self.layout.members.is_some() {
-            add_news(&mut self.kept_elsewhere, &mut sum.kept);
+        if self.topology.members.is_some() {
+            add_announcements(&mut self.remote_cached_parts, &mut sum.kept);
         }
         self.domains.insert(domain, (now, sum));
     }
 
     /// Handles the total of the fleet, and subtracts this entry's report from it.
-    pub(super) fn on_total(&self, own: &Instance, total: &Total) -> Option<TotalsOutput> {
+    pub(super) fn on_total(&self, own: &Instance, total: &Total) -> Option<LoadExchangeOutput> {
         let mut sum = Sum::default();
         sum.add(&total.report, 1);
         let number = total.parts.iter().find(|(entry, _)| entry == own).map(|(_, number)| *number);
@@ -256,15 +260,15 @@
             sum.add(report, -1);
         }
         let report = LoadReport { kept: total.report.kept.clone(), ..sum.to_report() };
-        Some(TotalsOutput::Heard(Instance::from(TOTAL), report))
+        Some(LoadExchangeOutput::Heard(Instance::from(TOTAL_SENDER), report))
     }
 }
 
 /// Adds announcements of cached parts, once where both collectors of a failure domain send the
 /// same.
-fn add_news(known: &mut Vec<KeptParts>, told: &mut Vec<KeptParts>) {
-    let news = std::mem::take(told).into_iter();
-    for parts in news {
+fn add_announcements(known: &mut Vec<KeptParts>, announced: &mut Vec<KeptParts>) {
+    let announced = std::mem::take(announced).into_iter();
+    for parts in announced {
         if !known.contains(&parts) {
             known.push(parts);
         }
@@ -293,8 +297,8 @@
             (&mut self.asked, &report.asked),
             (&mut self.refused, &report.refused),
         ];
-        for (sums, told) in all {
-            for (organisation, tokens) in told {
+        for (sums, reported) in all {
+            for (organisation, tokens) in reported {
                 *sums.entry(organisation.clone()).or_default() += sign as f64 * f64::from(*tokens);
             }
         }
--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -6,12 +6,12 @@
 //! configured with the whole fleet: each announces itself to the control instances that it knows,
 //! and learns of the others from them.
 
+mod discovery;
 mod io;
-mod joining;
 mod listing;
+mod load_exchange;
 mod roster;
-mod telling;
-mod totals;
+mod status;
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -19,12 +19,12 @@
 };
 
 pub use self::{
-    io::{ConfigurationSource, FleetInput, FleetOutput, RecordStanding, Ticket},
-    totals::{report_age, report_ttl, share_interval},
+    io::{ConfigurationSource, FleetInput, FleetOutput, RecordStatus, Ticket},
+    load_exchange::{report_age, report_ttl, share_interval},
 };
 use self::{
-    roster::{Joined, Roster, Told},
-    totals::{Totals, TotalsOutput},
+    load_exchange::{LoadExchange, LoadExchangeOutput},
+    roster::{Announcement, Roster, RosterUpdate},
 };
 use super::{
     client::RecordClient,
@@ -45,11 +45,11 @@
     state::log::Log,
 };
 
-impl From<TotalsOutput> for FleetOutput {
-    fn from(output: TotalsOutput) -> FleetOutput {
+impl From<LoadExchangeOutput> for FleetOutput {
+    fn from(output: LoadExchangeOutput) -> FleetOutput {
         match output {
-            TotalsOutput::SendToAll(to, message) => FleetOutput::SendToAll(to, message),
-            TotalsOutput::Heard(from, report) => FleetOutput::Heard(from, report),
+            LoadExchangeOutput::SendToAll(to, message) => FleetOutput::SendToAll(to, message),
+            LoadExchangeOutput::Heard(from, report) => FleetOutput::Heard(from, report),
         }
     }
 }
@@ -63,16 +63,16 @@
     control: Option<ControlMachine>,
     client: RecordClient,
     roster: Roster,
-    totals: Totals,
+    load_exchange: LoadExchange,
     awaited: BTreeMap<u64, Ticket>,
     /// Messages from this instance to itself.
-    own: VecDeque<Message>,
-    next_join: Millis,
+    own_messages: VecDeque<Message>,
+    next_announcement: Millis,
     /// The wall clock when this process first announced itself, in milliseconds since 1970.
     started: Option<u64>,
-    told_digest: u64,
-    told_source: Option<ConfigurationSource>,
-    told_standing: Option<RecordStanding>,
+    published_digest: u64,
+    reported_source: Option<ConfigurationSource>,
+    reported_status: Option<RecordStatus>,
     draining: bool,
 }
 
@@ -86,14 +86,14 @@
             view: View::default(),
             client,
             roster: Roster::new(seeds),
-            totals: Totals::default(),
+            load_exchange: LoadExchange::default(),
             awaited: BTreeMap::new(),
-            own: VecDeque::new(),
-            next_join: Millis::ZERO,
+            own_messages: VecDeque::new(),
+            next_announcement: Millis::ZERO,
             started: None,
-            told_digest: 0,
-            told_source: None,
-            told_standing: None,
+            published_digest: 0,
+            reported_source: None,
+            reported_status: None,
             draining: false,
             control,
             instance,
@@ -128,13 +128,13 @@
             FleetInput::Received(from, message) => {
                 self.on_message(now, unix_ms, &from, message, out);
             }
-            FleetInput::Asked(ticket, command, patience) => {
-                let id = self.client.propose(now, command, patience);
+            FleetInput::Asked(ticket, command, timeout) => {
+                let id = self.client.propose(now, command, timeout);
                 self.awaited.insert(id, ticket);
             }
             FleetInput::Share(report) => self.share(now, report, out),
             FleetInput::ShareListing(news, duty) => self.share_listing(news, duty, out),
-            FleetInput::WantListing(from) => self.want_listing(from, out),
+            FleetInput::WantListing(from) => self.request_listing(from, out),
             FleetInput::TellListing(to, news) => {
                 out.push(FleetOutput::Send(to, Message::Fleet(FleetMessage::Listing(news))));
             }
@@ -147,12 +147,12 @@
             FleetInput::SeedsChanged(seeds) => self.roster.set_seeds(seeds),
             FleetInput::Drain => {
                 self.draining = true;
-                self.join(now, unix_ms, out);
+                self.announce(now, unix_ms, out);
                 self.run_control(out, |control, outputs| control.hand_over(outputs));
             }
             FleetInput::Tick => self.tick(now, unix_ms, out),
         }
-        self.deliver_own(now, unix_ms, out);
+        self.deliver_own_messages(now, unix_ms, out);
     }
 
     /// Completes a batch of inputs: sends the messages that were collected during it.
@@ -161,19 +161,19 @@
         let mut messages = Vec::new();
         self.client.send_proposals(now, &mut messages);
         self.send_all(messages, out);
-        self.deliver_own(now, unix_ms, out);
+        self.deliver_own_messages(now, unix_ms, out);
     }
 
-    fn deliver_own(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<FleetOutput>) {
+    fn deliver_own_messages(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<FleetOutput>) {
         let instance = self.instance.clone();
-        while let Some(message) = self.own.pop_front() {
+        while let Some(message) = self.own_messages.pop_front() {
             self.on_message(now, unix_ms, &instance, message, out);
         }
     }
 
     fn send(&mut self, to: Instance, message: Message, out: &mut Vec<FleetOutput>) {
         if to == self.instance {
-            self.own.push_back(message);
+            self.own_messages.push_back(message);
         } else {
             out.push(FleetOutput::Send(to, message));
         }
@@ -198,18 +198,18 @@
             self.on_answer(id, reply, out);
         }
         self.roster.expire(now, self.control.is_some());
-        self.tell_entries(out);
-        self.tell_source(now, out);
-        self.tell_standing(now, out);
-        if now >= self.next_join {
-            self.join(now, unix_ms, out);
+        self.publish_entries(out);
+        self.report_source(now, out);
+        self.report_status(now, out);
+        if now >= self.next_announcement {
+            self.announce(now, unix_ms, out);
         }
     }
 
     fn share(&mut self, now: Millis, report: LoadReport, out: &mut Vec<FleetOutput>) {
         let domain = &self.settings.failure_domain;
         let mut outputs = Vec::new();
-        self.totals.share(now, &self.instance, domain, report, &mut outputs);
+        self.load_exchange.share(now, &self.instance, domain, report, &mut outputs);
         out.extend(outputs.into_iter().map(FleetOutput::from));
     }
 
@@ -244,9 +244,9 @@
     ) {
         match message {
             FleetMessage::Join { domain, leaving, known, started } => {
-                self.on_join(now, from, &Joined { domain, leaving, started }, out);
+                self.on_announcement(now, from, &Announcement { domain, leaving, started }, out);
                 if self.control.is_some() {
-                    self.answer_join(unix_ms, from, known, out);
+                    self.answer_announcement(unix_ms, from, known, out);
                 }
             }
             FleetMessage::Roster { number, entries, controls } => {
@@ -254,17 +254,21 @@
                 // the rosters of others it takes the control instances, so that it can reach a
                 // leader.
                 let entries = if self.control.is_some() { Vec::new() } else { entries };
-                self.roster.on_told(now, from, Told { number, entries, controls });
-                self.tell_entries(out);
+                self.roster.on_update(now, from, RosterUpdate { number, entries, controls });
+                self.publish_entries(out);
             }
-            FleetMessage::SameRoster(number) => self.roster.on_same(now, from, number),
+            FleetMessage::SameRoster(number) => self.roster.on_unchanged(now, from, number),
             FleetMessage::Load(report) => {
                 self.roster.on_heard(now, from);
-                out.extend(self.totals.on_load(now, from, report).map(FleetOutput::from));
+                out.extend(self.load_exchange.on_load(now, from, report).map(FleetOutput::from));
+            }
+            FleetMessage::DomainSum(domain, sum) => {
+                self.load_exchange.on_domain_sum(now, domain, sum)
             }
-            FleetMessage::DomainSum(domain, sum) => self.totals.on_domain_sum(now, domain, sum),
             FleetMessage::Total(total) => {
-                out.extend(self.totals.on_total(&self.instance, &total).map(FleetOutput::from));
+                out.extend(
+                    self.load_exchange.on_total(&self.instance, &total).map(FleetOutput::from),
+                );
             }
             FleetMessage::Listing(news) => out.push(FleetOutput::Listed(from.clone(), news)),
             FleetMessage::ListingWanted => out.push(FleetOutput::ListingWanted(from.clone())),
--- a/src/kingcupgrade/coordination/fleet/roster.rs
+++ b/src/kingcupgrade/coordination/fleet/roster.rs
@@ -26,7 +26,7 @@
 
 /// The roster that one control instance sends.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct RosterUpdate {
     /// Its number among the rosters of the control instance; 0 if there is none.
     pub number: u64,
     /// The entries that the control instance recently heard from.
@@ -37,7 +37,7 @@
 
 /// What an instance announces of itself.
 #[derive(Clone, Debug)]
-pub struct Joined {
+pub struct Announcement {
     /// Its failure domain.
     pub domain: FailureDomain,
     /// Whether it is about to stop.
@@ -61,11 +61,11 @@
     controls: BTreeMap<Instance, Millis>,
     seeds: BTreeSet<Instance>,
     /// When a control instance last sent or confirmed a roster.
-    listed: Option<Millis>,
+    last_update: Option<Millis>,
     /// The last roster that each control instance sent.
-    told: BTreeMap<Instance, Told>,
+    received: BTreeMap<Instance, RosterUpdate>,
     /// The last roster that this control instance sent.
-    own: Told,
+    published: RosterUpdate,
     /// The last known processes, also of instances that were dropped from the roster.
     processes: BTreeMap<Instance, Process>,
 }
@@ -83,26 +83,31 @@
 
     /// Records an announcement. Returns the number of restarts of the instance that were seen, if
     /// this is a new one.
-    pub fn on_join(&mut self, now: Millis, instance: &Instance, join: &Joined) -> Option<u32> {
+    pub fn on_announcement(
+        &mut self,
+        now: Millis,
+        instance: &Instance,
+        announcement: &Announcement,
+    ) -> Option<u32> {
         match role_of(instance) {
             Some(Role::Control) => {
                 self.controls.insert(instance.clone(), now);
             }
-            Some(Role::Entry) if join.leaving => {
+            Some(Role::Entry) if announcement.leaving => {
                 self.entries.remove(instance);
             }
             Some(Role::Entry) => {
-                self.entries.insert(instance.clone(), (join.domain.clone(), now));
+                self.entries.insert(instance.clone(), (announcement.domain.clone(), now));
             }
             None => return None,
         }
-        self.note_start(now, instance, join.started)
+        self.record_start(now, instance, announcement.started)
     }
 
     /// Records the start of an instance's process; returns the number of restarts if this is a new
     /// one. A message of an earlier process may arrive late, so only a later start counts as a
     /// restart.
-    fn note_start(&mut self, now: Millis, instance: &Instance, started: u64) -> Option<u32> {
+    fn record_start(&mut self, now: Millis, instance: &Instance, started: u64) -> Option<u32> {
         let process = self.processes.entry(instance.clone());
         let process = process.or_insert(Process { started, restarts: 0, heard: now });
         process.heard = now;
@@ -123,57 +128,63 @@
     }
 
     /// Returns the number of the last roster that a control instance sent; 0 if there is none.
-    pub fn number_told_by(&self, control: &Instance) -> u64 {
-        self.told.get(control).map_or(0, |told| told.number)
+    pub fn number_from(&self, control: &Instance) -> u64 {
+        self.received.get(control).map_or(0, |update| update.number)
     }
 
     /// Applies a roster that a control instance sent.
-    pub fn on_told(&mut self, now: Millis, control: &Instance, told: Told) {
-        self.listed = Some(now);
-        self.refresh(now, &told);
-        self.told.insert(control.clone(), told);
+    pub fn on_update(&mut self, now: Millis, control: &Instance, update: RosterUpdate) {
+        self.last_update = Some(now);
+        self.apply(now, &update);
+        self.received.insert(control.clone(), update);
     }
 
     /// Applies a control instance's confirmation that its last roster is unchanged.
-    pub fn on_same(&mut self, now: Millis, control: &Instance, number: u64) {
-        let Some(told) = self.told.get(control).filter(|told| told.number == number).cloned()
+    pub fn on_unchanged(&mut self, now: Millis, control: &Instance, number: u64) {
+        let Some(update) =
+            self.received.get(control).filter(|update| update.number == number).cloned()
         else {
             return;
         };
-        self.listed = Some(now);
-        self.refresh(now, &told);
+        self.last_update = Some(now);
+        self.apply(now, &update);
     }
 
-    fn refresh(&mut self, now: Millis, told: &Told) {
-        for Resident(instance, domain) in &told.entries {
+    fn apply(&mut self, now: Millis, update: &RosterUpdate) {
+        for Resident(instance, domain) in &update.entries {
             self.entries.insert(instance.clone(), (domain.clone(), now));
         }
-        for control in &told.controls {
+        for control in &update.controls {
             self.controls.insert(control.clone(), now);
         }
     }
 
     /// Returns the roster that this control instance sends, under a new number if it has changed.
     /// Numbers are at least the wall clock, so that those of an earlier process are not used again.
-    pub fn tell(&mut self, unix_ms: u64, controls: Vec<Instance>) -> &Told {
+    pub fn next_update(&mut self, unix_ms: u64, controls: Vec<Instance>) -> &RosterUpdate {
         let entries = self.entries();
-        if self.own.number == 0 || self.own.entries != entries || self.own.controls != controls {
-            let number = unix_ms.max(self.own.number + 1);
-            self.own = Told { number, entries, controls };
+        if self.published.number == 0
+            || self.published.entries != entries
+            || self.published.controls != controls
+        {
+            let number = unix_ms.max(self.published.number + 1);
+            self.published = RosterUpdate { number, entries, controls };
         }
-        &self.own
+        &self.published
     }
 
     /// Drops the instances that were not heard from for long, unless no control instance reaches
     /// this one.
-    pub fn expire(&mut self, now: Millis, lists_itself: bool) {
-        let is_listed = self.listed.is_some_and(|listed| now.since(listed) <= ENTRY_TTL);
-        if lists_itself || is_listed {
+    pub fn expire(&mut self, now: Millis, is_control: bool) {
+        let has_recent_update =
+            self.last_update.is_some_and(|last_update| now.since(last_update) <= ENTRY_TTL);
+        if is_control || has_recent_update {
             self.entries.retain(|_, (_, heard)| now.since(*heard) <= ENTRY_TTL);
             self.controls.retain(|_, heard| now.since(*heard) <= CONTROL_TTL);
             self.processes.retain(|_, process| now.since(process.heard) <= PROCESS_TTL);
             let (controls, seeds) = (&self.controls, &self.seeds);
-            self.told.retain(|told, _| controls.contains_key(told) || seeds.contains(told));
+            self.received
+                .retain(|control, _| controls.contains_key(control) || seeds.contains(control));
         }
     }
 
--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -318,7 +318,7 @@
                 counter!("kingcup_restarts_seen").increment(1);
                 log::event("instance-restarted", &(instance, restarts));
             }
-            FleetOutput::StandingChanged(standing) => log::event("record-standing", &standing),
+            FleetOutput::RecordStatusChanged(status) => log::event("record-standing", &status),
         }
     }
 }
