--- a/src/kingcupgrade/coordination/overload.rs
+++ b/src/kingcupgrade/coordination/overload.rs
@@ -16,11 +16,11 @@
 /// The scheduling delay above which the refused fraction grows: a pause that callers of streams
 /// don't notice yet. Below it a short surge is served a little late, which serves more callers than
 /// refusing a fraction.
-const LATE_LIMIT: Millis = Millis(100);
+const DELAY_LIMIT: Millis = Millis(100);
 /// If two tasks in a row wait longer than this, all requests are refused: a request waits for two
 /// tasks to be scheduled before it is sent on, and its caller leaves after half a second or little
 /// more.
-const FAR_LIMIT: Millis = Millis(200);
+const SATURATION_LIMIT: Millis = Millis(200);
 /// The increase of the refused fraction for one task that waits twice the limit.
 const GAIN: f64 = 0.06;
 /// The maximum increase for one task: a process that was suspended for seconds is not overloaded.
@@ -29,62 +29,63 @@
 /// ms the fraction falls by 0.5 in a second, which is slower than callers come back.
 const RECOVERY: f64 = 0.005;
 /// The maximum refused fraction: the requests still served show whether the load is still too high.
-const MAX_PART: f64 = 0.95;
+const MAX_REFUSED_FRACTION: f64 = 0.95;
 
 /// From this refused fraction on an entry asks the balancer for no new callers, until it refuses
 /// nothing. Refused callers come back to the entry that the balancer's hash selects, so only
 /// another entry in its place helps them.
-const FULL_PART: f64 = 0.25;
+const FULL_FRACTION: f64 = 0.25;
 
 /// The load shedding state of an entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overload {
     is_full: bool,
-    part: f64,
-    /// The sum of the refused fractions of requests that were not refused, below 1.
-    owed: f64,
+    refused_fraction: f64,
+    /// The refused fraction summed up over requests; a request is refused once the sum reaches 1,
+    /// which is then subtracted.
+    accumulated: f64,
     /// How long the last task waited to be scheduled.
-    last: Millis,
+    last_delay: Millis,
     /// Whether the last two tasks both waited too long. A single one may have been caused by a
     /// suspended process.
-    is_far_behind: bool,
+    is_saturated: bool,
 }
 
 impl Overload {
     /// Records how long a measuring task waited to be scheduled. One is started each 10 ms if the
     /// one before has run.
-    pub fn on_turn(&mut self, late: Millis) {
-        let excess = late.0 as f64 / LATE_LIMIT.0 as f64 - 1.0;
+    pub fn on_probe_delay(&mut self, delay: Millis) {
+        let excess = delay.0 as f64 / DELAY_LIMIT.0 as f64 - 1.0;
         let step = if excess > 0.0 { (GAIN * excess).min(MAX_STEP) } else { -RECOVERY };
-        self.part = (self.part + step).clamp(0.0, MAX_PART);
-        if self.part == 0.0 {
-            self.owed = 0.0;
+        self.refused_fraction = (self.refused_fraction + step).clamp(0.0, MAX_REFUSED_FRACTION);
+        if self.refused_fraction == 0.0 {
+            self.accumulated = 0.0;
             self.is_full = false;
         }
-        self.is_full |= self.part >= FULL_PART;
-        self.on_wait(late);
+        self.is_full |= self.refused_fraction >= FULL_FRACTION;
+        self.on_delay(delay);
     }
 
     /// Records how long a new connection waited to be scheduled; under overload there are many of
     /// them.
-    pub fn on_wait(&mut self, late: Millis) {
-        self.is_far_behind = late.min(self.last) > FAR_LIMIT;
-        self.last = late;
+    pub fn on_delay(&mut self, delay: Millis) {
+        self.is_saturated = delay.min(self.last_delay) > SATURATION_LIMIT;
+        self.last_delay = delay;
     }
 
     /// Returns the fraction of requests that is refused.
-    pub fn part(&self) -> f64 {
-        self.part
+    pub fn refused_fraction(&self) -> f64 {
+        self.refused_fraction
     }
 
     /// Returns how long the last task waited to be scheduled.
-    pub fn turn_wait(&self) -> Millis {
-        self.last
+    pub fn scheduling_delay(&self) -> Millis {
+        self.last_delay
     }
 
     /// Returns whether all requests are refused until the processor has caught up.
-    pub fn is_far_behind(&self) -> bool {
-        self.is_far_behind
+    pub fn is_saturated(&self) -> bool {
+        self.is_saturated
     }
 
     /// Returns whether new callers should be sent to other entries.
@@ -94,15 +95,15 @@
 
     /// Returns whether to refuse the request that has just arrived. Refusals are spread evenly over
     /// the requests.
-    pub fn refuses(&mut self) -> bool {
-        if self.is_far_behind {
+    pub fn should_refuse(&mut self) -> bool {
+        if self.is_saturated {
             return true;
         }
-        self.owed += self.part;
-        let refuses = self.owed >= 1.0;
-        if refuses {
-            self.owed -= 1.0;
+        self.accumulated += self.refused_fraction;
+        let is_refused = self.accumulated >= 1.0;
+        if is_refused {
+            self.accumulated -= 1.0;
         }
-        refuses
+        is_refused
     }
 }
--- a/src/kingcupgrade/transport/gateway/lateness.rs
+++ b/src/kingcupgrade/transport/gateway/lateness.rs
@@ -25,30 +25,30 @@
 impl<E: Edge> Gateway<E> {
     fn note_lateness(&self, late: Millis) {
         let mut overload = self.overload.get();
-        overload.on_turn(late);
+        overload.on_probe_delay(late);
         self.overload.set(overload);
     }
 
     /// Notes how long a new connection waited for its turn.
     pub(super) fn note_wait(&self, late: Millis) {
         let mut overload = self.overload.get();
-        overload.on_wait(late);
+        overload.on_delay(late);
         self.overload.set(overload);
     }
 
     /// Logs what this entry refuses for want of processor time, if anything.
     pub(super) fn log_overload(&self) {
         let overload = self.overload.get();
-        let part = overload.part();
-        if part == 0.0 && !overload.is_far_behind() {
+        let part = overload.refused_fraction();
+        if part == 0.0 && !overload.is_saturated() {
             return;
         }
         log::event(
             "overloaded",
             &Overloaded {
                 part,
-                refuses_all: overload.is_far_behind(),
-                turn_wait_ms: overload.turn_wait(),
+                refuses_all: overload.is_saturated(),
+                turn_wait_ms: overload.scheduling_delay(),
                 open: (self.open_connections.get(), self.open_requests.get()),
                 waiting: self.traffic.borrow().waiting(),
             },
@@ -58,7 +58,7 @@
     /// Tells whether the request that came now is too much for this entry's processor.
     pub(super) fn is_too_much(&self) -> bool {
         let mut overload = self.overload.get();
-        let refuses = overload.refuses();
+        let refuses = overload.should_refuse();
         self.overload.set(overload);
         refuses
     }
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -131,8 +131,8 @@
         gauge!("kingcup_open_requests").set(self.open_requests.get() as f64);
         gauge!("kingcup_open_connections").set(self.open_connections.get() as f64);
         gauge!("kingcup_waiting_requests").set(traffic.waiting() as f64);
-        gauge!("kingcup_refused_part").set(self.overload.get().part());
-        gauge!("kingcup_turn_wait_ms").set(self.overload.get().turn_wait().0 as f64);
+        gauge!("kingcup_refused_part").set(self.overload.get().refused_fraction());
+        gauge!("kingcup_turn_wait_ms").set(self.overload.get().scheduling_delay().0 as f64);
         gauge!("kingcup_entries").set(traffic.entry_count() as f64);
         let listing_age = self.listing_plan.borrow().age(now);
         gauge!("kingcup_listing_age_ms").set(listing_age.0 as f64);
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -15,7 +15,7 @@
     let mut taken = 0;
     for turn in 0..2_000 {
         for _ in 0..8 {
-            if overload.refuses() {
+            if overload.should_refuse() {
                 behind_ms += 0.2;
             } else {
                 behind_ms += 5.0;
@@ -23,7 +23,7 @@
             }
         }
         behind_ms = (behind_ms - 10.0).max(0.0);
-        overload.on_turn(Millis(behind_ms as u64));
+        overload.on_probe_delay(Millis(behind_ms as u64));
         assert!(turn < 200 || behind_ms < 250.0, "{behind_ms} ms behind at turn {turn}");
     }
     assert!((1_200..2_400).contains(&taken), "{taken} requests taken in ten seconds");
@@ -34,13 +34,13 @@
 fn refusing_ends_with_the_rush() {
     let mut overload = Overload::default();
     for _ in 0..100 {
-        overload.on_turn(Millis(300));
+        overload.on_probe_delay(Millis(300));
     }
-    assert!(overload.part() > 0.5 && overload.is_full());
+    assert!(overload.refused_fraction() > 0.5 && overload.is_full());
     for _ in 0..200 {
-        overload.on_turn(Millis(1));
+        overload.on_probe_delay(Millis(1));
     }
-    assert!(!(0..100).any(|_| overload.refuses()) && !overload.is_full());
+    assert!(!(0..100).any(|_| overload.should_refuse()) && !overload.is_full());
 }
 
 /// In a process that stood still for seconds one task has waited that long. Nothing is too much for
@@ -48,8 +48,8 @@
 #[test]
 fn one_long_pause_is_no_overload() {
     let mut overload = Overload::default();
-    overload.on_turn(Millis(5_000));
-    let refused = (0..100).filter(|_| overload.refuses()).count();
+    overload.on_probe_delay(Millis(5_000));
+    let refused = (0..100).filter(|_| overload.should_refuse()).count();
     assert!(refused <= 20, "{refused} of 100 refused");
 }
 
@@ -87,13 +87,13 @@
             let Some((queued, task)) = self.tasks.pop_front() else { break };
             match task {
                 Task::Request => {
-                    self.overload.on_wait(Millis((self.now_ms - queued) as u64));
-                    let refuses = self.overload.refuses();
+                    self.overload.on_delay(Millis((self.now_ms - queued) as u64));
+                    let refuses = self.overload.should_refuse();
                     self.busy_ms += if refuses { Self::REFUSED_MS } else { Self::SERVED_MS };
                 }
                 Task::Probe => {
                     self.is_probing = false;
-                    self.overload.on_turn(Millis((self.now_ms - queued) as u64));
+                    self.overload.on_probe_delay(Millis((self.now_ms - queued) as u64));
                 }
             }
         }
