--- a/src/kingcupgrade/coordination/listing.rs
+++ b/src/kingcupgrade/coordination/listing.rs
@@ -19,9 +19,9 @@
 
 /// The interval at which a reader reads the list. The list itself lags by most of a second, and an
 /// upstream that leaves must get nothing new a few seconds after it is listed so.
-const INTERVAL: Millis = Millis(900);
+const READ_INTERVAL: Millis = Millis(900);
 /// The delay before the next attempt after a reading failed.
-const PAUSE: Millis = Millis(400);
+const RETRY_DELAY: Millis = Millis(400);
 /// The number of stand-ins in a failure domain, which read the list if nothing arrives from the
 /// reader.
 const STAND_INS: usize = 2;
@@ -32,7 +32,7 @@
 const SECOND_STAND_IN_SILENCE: Millis = Millis(1_700);
 /// An entry that has received nothing for this long reads the list itself: two readings have failed
 /// to arrive.
-const SILENCE: Millis = Millis(2_000);
+const MAX_SILENCE: Millis = Millis(2_000);
 /// Entries that lose their readers at the same moment start to read spread over this time.
 const STAGGER: Millis = Millis(1_000);
 /// How long an entry that starts waits for a list from other entries; the stand-ins wait less, the
@@ -47,7 +47,7 @@
 pub const MAX_TOLD_AGE: Millis = Millis(1_000);
 /// The number of entries that may all read at the interval of a reader without exceeding the rate
 /// that the list allows; in a larger fleet, each reads less often.
-const ENTRIES_AT_PACE: usize = 12;
+const MAX_FULL_RATE_READERS: usize = 12;
 /// The key of the rendezvous hash that ranks the readers.
 const RANKING_KEY: &str = "listing";
 
@@ -70,66 +70,67 @@
 #[derive(Clone, Debug, Default)]
 pub struct ListingPlan {
     stagger: Millis,
-    heard: Option<Millis>,
+    /// When the newest list received from another entry was read.
+    last_received: Option<Millis>,
     /// When this entry last read the list.
-    read: Millis,
+    last_read: Millis,
     /// The time of the next reading as reader or stand-in.
-    next: Millis,
+    next_read: Millis,
     /// The time of the next reading as an entry that only receives, if nothing arrives.
-    next_alone: Millis,
+    next_unaided_read: Millis,
 }
 
 impl ListingPlan {
     /// Creates the schedule of an entry that starts, at zero by its clock.
     pub fn new(entry: &Instance) -> ListingPlan {
-        let place = u64::from(crc32fast::hash(entry.as_str().as_bytes()));
-        ListingPlan { stagger: Millis(place % STAGGER.0), ..ListingPlan::default() }
+        let hash = u64::from(crc32fast::hash(entry.as_str().as_bytes()));
+        ListingPlan { stagger: Millis(hash % STAGGER.0), ..ListingPlan::default() }
     }
 
     /// Records a list received from another entry, which was read `age` ago.
     pub fn on_heard(&mut self, now: Millis, age: Millis) {
         let at = now.since(age);
-        self.heard = Some(self.heard.map_or(at, |heard| heard.max(at)));
-        self.next_alone = now;
+        self.last_received = Some(self.last_received.map_or(at, |known| known.max(at)));
+        self.next_unaided_read = now;
     }
 
     /// Returns whether the list was ever read or received.
     pub fn is_known(&self) -> bool {
-        self.heard.is_some() || self.read > Millis::ZERO
+        self.last_received.is_some() || self.last_read > Millis::ZERO
     }
 
     /// Records a reading by this entry, or a failed attempt, in a fleet of `entries`.
     pub fn on_read(&mut self, now: Millis, is_ok: bool, entries: usize) {
-        let pause = if is_ok { INTERVAL } else { PAUSE };
-        let crowd = entries.div_ceil(ENTRIES_AT_PACE).max(1);
+        let delay = if is_ok { READ_INTERVAL } else { RETRY_DELAY };
+        let slowdown = entries.div_ceil(MAX_FULL_RATE_READERS).max(1);
         if is_ok {
-            self.read = now;
+            self.last_read = now;
         }
-        self.next = now + pause;
-        self.next_alone = now + Millis(pause.0 * crowd as u64);
+        self.next_read = now + delay;
+        self.next_unaided_read = now + Millis(delay.0 * slowdown as u64);
     }
 
     /// Returns the age of the newest list that was read or received; the time since the start if
     /// there is none.
     pub fn age(&self, now: Millis) -> Millis {
-        now.since(self.heard.unwrap_or_default().max(self.read))
+        now.since(self.last_received.unwrap_or_default().max(self.last_read))
     }
 
     /// Returns whether the list is due to be read.
     pub fn is_due(&self, now: Millis, duty: ListingDuty) -> bool {
         let silence = match (duty, self.is_known()) {
-            (ListingDuty::Reads, _) => return now >= self.next,
+            (ListingDuty::Reads, _) => return now >= self.next_read,
             (ListingDuty::StandsIn, true) => FIRST_STAND_IN_SILENCE,
             (ListingDuty::StandsIn, false) => FIRST_STAND_IN_START,
             (ListingDuty::StandsInSecond, true) => SECOND_STAND_IN_SILENCE,
             (ListingDuty::StandsInSecond, false) => SECOND_STAND_IN_START,
-            (ListingDuty::Hears, true) => SILENCE + self.stagger,
+            (ListingDuty::Hears, true) => MAX_SILENCE + self.stagger,
             (ListingDuty::Hears, false) => {
                 START_SILENCE + Millis(self.stagger.0 / START_STAGGER_PART)
             }
         };
-        let next = if duty == ListingDuty::Hears { self.next_alone } else { self.next };
-        now.since(self.heard.unwrap_or_default()) > silence && now >= next
+        let next = if duty == ListingDuty::Hears { self.next_unaided_read } else { self.next_read };
+        now.since(self.last_received.unwrap_or_default()) > silence && now >= next
     }
 }
 
@@ -146,8 +147,8 @@
     /// Returns the entries that may know the list: the reader, and the stand-ins of the failure
     /// domain.
     pub fn readers(&self) -> Vec<Instance> {
-        let mut readers = first(self.fleet, 1);
-        for entry in first(self.domain, STAND_INS) {
+        let mut readers = top_ranked(self.fleet, 1);
+        for entry in top_ranked(self.domain, STAND_INS) {
             if !readers.contains(&entry) {
                 readers.push(entry);
             }
@@ -157,10 +158,10 @@
 
     /// Returns the part of an entry of the failure domain in reading the list.
     pub fn duty(&self, entry: &Instance) -> ListingDuty {
-        if first(self.fleet, 1).first() == Some(entry) {
+        if top_ranked(self.fleet, 1).first() == Some(entry) {
             return ListingDuty::Reads;
         }
-        match first(self.domain, STAND_INS).iter().position(|reader| reader == entry) {
+        match top_ranked(self.domain, STAND_INS).iter().position(|reader| reader == entry) {
             Some(0) => ListingDuty::StandsIn,
             Some(_) => ListingDuty::StandsInSecond,
             None => ListingDuty::Hears,
@@ -168,7 +169,7 @@
     }
 }
 
-fn first(entries: &[Instance], most: usize) -> Vec<Instance> {
+fn top_ranked(entries: &[Instance], most: usize) -> Vec<Instance> {
     let mut ranked = rendezvous::ranking(RANKING_KEY, entries.iter().cloned());
     ranked.truncate(most);
     ranked
@@ -205,13 +206,13 @@
             self.number = unix_ms.max(base + 1);
         }
         if base == 0 {
-            return self.whole_by(own);
+            return self.full_list_from(own);
         }
         let now = self.upstreams.iter();
         let changed = now.filter(|(name, listed)| before.get(*name) != Some(*listed));
         let gone = before.keys().filter(|name| !self.upstreams.contains_key(*name));
         let changed = changed.map(|(_, listed)| listed.clone()).collect();
-        self.news(own, base, changed, gone.cloned().collect())
+        self.change(own, base, changed, gone.cloned().collect())
     }
 
     /// Applies a change from another entry; returns false if it builds on a list that is not known
@@ -234,14 +235,14 @@
 
     /// Returns the whole list, for an entry that knows none; `None` if none is known here either.
     pub fn whole(&self) -> Option<ListingNews> {
-        self.reader.as_ref().map(|reader| self.whole_by(reader))
+        self.reader.as_ref().map(|reader| self.full_list_from(reader))
     }
 
-    fn whole_by(&self, reader: &Instance) -> ListingNews {
-        self.news(reader, 0, self.upstreams.values().cloned().collect(), Vec::new())
+    fn full_list_from(&self, reader: &Instance) -> ListingNews {
+        self.change(reader, 0, self.upstreams.values().cloned().collect(), Vec::new())
     }
 
-    fn news(
+    fn change(
         &self,
         reader: &Instance,
         base: u64,
