--- a/src/kingcupgrade/coordination/listing.rs
+++ b/src/kingcupgrade/coordination/listing.rs
@@ -44,7 +44,7 @@
 /// this.
 const START_STAGGER_PART: u64 = 2;
 /// A list is sent to an entry that starts only if it is younger than this.
-pub const MAX_TOLD_AGE: Millis = Millis(1_000);
+pub const MAX_SHARED_AGE: Millis = Millis(1_000);
 /// The number of entries that may all read at the interval of a reader without exceeding the rate
 /// that the list allows; in a larger fleet, each reads less often.
 const MAX_FULL_RATE_READERS: usize = 12;
@@ -88,7 +88,7 @@
     }
 
     /// Records a list received from another entry, which was read `age` ago.
-    pub fn on_heard(&mut self, now: Millis, age: Millis) {
+    pub fn on_received(&mut self, now: Millis, age: Millis) {
         let at = now.since(age);
         self.last_received = Some(self.last_received.map_or(at, |known| known.max(at)));
         self.next_unaided_read = now;
@@ -217,7 +217,7 @@
 
     /// Applies a change from another entry; returns false if it builds on a list that is not known
     /// here.
-    pub fn on_news(&mut self, news: ListingNews) -> bool {
+    pub fn on_change(&mut self, news: ListingNews) -> bool {
         let is_known = self.reader.as_ref() == Some(&news.reader) && self.number == news.base;
         if news.base == 0 {
             self.upstreams.clear();
@@ -234,7 +234,7 @@
     }
 
     /// Returns the whole list, for an entry that knows none; `None` if none is known here either.
-    pub fn whole(&self) -> Option<ListingNews> {
+    pub fn full_list(&self) -> Option<ListingNews> {
         self.reader.as_ref().map(|reader| self.full_list_from(reader))
     }
 
--- a/src/kingcupgrade/transport/gateway/listing.rs
+++ b/src/kingcupgrade/transport/gateway/listing.rs
@@ -19,7 +19,7 @@
 use crate::{
     coordination::{
         fleet::FleetInput,
-        listing::{KnownListing, ListingDuty, MAX_TOLD_AGE},
+        listing::{KnownListing, ListingDuty, MAX_SHARED_AGE},
     },
     core::{Instance, Millis},
     protocol::fleet::{ListedUpstream, ListingNews},
@@ -91,13 +91,13 @@
     pub(super) fn on_listing_news(&self, from: Instance, news: ListingNews) {
         let age = news.age;
         let mut known = self.listing.borrow_mut();
-        if !known.listing.on_news(news) {
+        if !known.listing.on_change(news) {
             self.fleet.tell(FleetInput::WantListing(Some(from)));
             return;
         }
         known.age = Some(Age { before: age, ..Age::start() });
         drop(known);
-        self.listing_plan.borrow_mut().on_heard(self.now(), age);
+        self.listing_plan.borrow_mut().on_received(self.now(), age);
         self.set_listing();
     }
 
@@ -110,8 +110,8 @@
     /// Tells an entry that asks what is known here, if that is young enough.
     pub(super) fn tell_listing(&self, to: Instance) {
         let known = self.listing.borrow();
-        let age = known.age.as_ref().and_then(Age::get).filter(|age| *age < MAX_TOLD_AGE);
-        if let (Some(age), Some(news)) = (age, known.listing.whole()) {
+        let age = known.age.as_ref().and_then(Age::get).filter(|age| *age < MAX_SHARED_AGE);
+        if let (Some(age), Some(news)) = (age, known.listing.full_list()) {
             self.fleet.tell(FleetInput::TellListing(to, ListingNews { age, ..news }));
         }
     }
--- a/tests/testsuite/listing.rs
+++ b/tests/testsuite/listing.rs
@@ -67,7 +67,7 @@
                     ListingDuty::StandsIn | ListingDuty::StandsInSecond => entry.domain == domain,
                 };
                 if is_told {
-                    entry.plan.on_heard(Millis(now), Millis(READING));
+                    entry.plan.on_received(Millis(now), Millis(READING));
                 }
             }
         }
@@ -167,10 +167,10 @@
 #[test]
 fn a_list_counts_from_when_it_was_read() {
     let mut plan = ListingPlan::new(&entries(1)[0]);
-    plan.on_heard(Millis(5_000), Millis(900));
+    plan.on_received(Millis(5_000), Millis(900));
     assert_eq!(plan.age(Millis(5_000)), Millis(900));
     // An older one that arrives later takes nothing back.
-    plan.on_heard(Millis(5_100), Millis(1_500));
+    plan.on_received(Millis(5_100), Millis(1_500));
     assert_eq!(plan.age(Millis(5_100)), Millis(1_000));
 }
 
@@ -202,15 +202,15 @@
     let own = &entries(1)[0];
     let (mut reader, mut hearer) = (KnownListing::default(), KnownListing::default());
     let first = reader.on_read(own, 1_000, all(&["a", "b", "c"]));
-    assert!(hearer.on_news(first));
+    assert!(hearer.on_change(first));
     let same = reader.on_read(own, 2_000, all(&["a", "b", "c"]));
     assert!(same.changed.is_empty() && same.gone.is_empty());
-    assert!(hearer.on_news(same));
+    assert!(hearer.on_change(same));
     let mut read = all(&["a", "d"]);
     read[0].is_ready = false;
     let news = reader.on_read(own, 3_000, read.clone());
     assert_eq!((news.changed.len(), news.gone.len()), (2, 2));
-    assert!(hearer.on_news(news));
+    assert!(hearer.on_change(news));
     assert_eq!(names(&hearer), ["a", "d"]);
     assert_eq!(hearer.upstreams().cloned().collect::<Vec<_>>(), read);
 }
@@ -222,20 +222,20 @@
 fn a_change_of_a_list_that_is_not_known_is_not_taken_in() {
     let readers = entries(2);
     let (mut reader, mut hearer) = (KnownListing::default(), KnownListing::default());
-    assert!(hearer.on_news(reader.on_read(&readers[0], 1_000, all(&["a", "b"]))));
+    assert!(hearer.on_change(reader.on_read(&readers[0], 1_000, all(&["a", "b"]))));
     let _lost = reader.on_read(&readers[0], 2_000, all(&["a"]));
     let later = reader.on_read(&readers[0], 3_000, all(&["a"]));
-    assert!(!hearer.on_news(later.clone()));
+    assert!(!hearer.on_change(later.clone()));
     assert_eq!(names(&hearer), ["a", "b"], "a list that is only half known");
-    assert!(hearer.on_news(reader.whole().expect("a list")));
+    assert!(hearer.on_change(reader.full_list().expect("a list")));
     assert_eq!(names(&hearer), ["a"]);
     // One that starts again, at an earlier wall clock, or that read for others meanwhile.
     let mut restarted = KnownListing::default();
     restarted.on_read(&readers[0], 2_500, all(&["x"]));
-    assert!(!hearer.on_news(restarted.on_read(&readers[0], 2_600, all(&["x", "y"]))));
+    assert!(!hearer.on_change(restarted.on_read(&readers[0], 2_600, all(&["x", "y"]))));
     let other: ListingNews = restarted.on_read(&readers[1], 2_700, all(&["x"]));
     assert_eq!(other.base, 0, "a new reader tells the whole list");
-    assert!(hearer.on_news(other));
+    assert!(hearer.on_change(other));
     assert_eq!(names(&hearer), ["x"]);
 }
 
