--- a/src/kingcupgrade/coordination/traffic/budget.rs
+++ b/src/kingcupgrade/coordination/traffic/budget.rs
@@ -46,7 +46,7 @@
     }
 
     /// Spends a retry if this entry, one of `entries`, has one left; returns whether it had.
-    pub fn try_repeat(&mut self, now: Millis, allowance: Allowance, entries: usize) -> bool {
+    pub fn try_retry(&mut self, now: Millis, allowance: Allowance, entries: usize) -> bool {
         self.current_slice(now, allowance);
         let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
         let retries: u32 = self.slices.iter().map(|slice| slice.retries).sum();
--- a/src/kingcupgrade/coordination/traffic/mod.rs
+++ b/src/kingcupgrade/coordination/traffic/mod.rs
@@ -258,10 +258,10 @@
     }
 
     /// Spends a retry from the service's budget; returns false if none is left.
-    pub fn try_repeat(&mut self, now: Millis, service: &Service) -> bool {
+    pub fn try_retry(&mut self, now: Millis, service: &Service) -> bool {
         let (allowance, entries) = (self.allowance(), self.entry_count());
         let budget = self.budgets.entry(service.clone()).or_default();
-        budget.try_repeat(now, allowance, entries)
+        budget.try_retry(now, allowance, entries)
     }
 
     fn grant(&mut self, now: Millis, demand: &Demand, name: &UpstreamName) -> Option<Grant> {
--- a/src/kingcupgrade/transport/gateway/caller/mod.rs
+++ b/src/kingcupgrade/transport/gateway/caller/mod.rs
@@ -246,7 +246,7 @@
         self.route.kind.is_idempotent()
             && attempts < self.route.max_attempts
             && Instant::now() < self.deadline
-            && self.gateway.traffic.borrow_mut().try_repeat(self.gateway.now(), &self.service)
+            && self.gateway.traffic.borrow_mut().try_retry(self.gateway.now(), &self.service)
     }
 
     /// Waits for a place and sends, again and again as far as that is allowed, until an answer
@@ -312,7 +312,7 @@
         let attempts = self.progress.borrow().attempts;
         attempts < self.route.max_attempts.max(2)
             && Instant::now() < self.deadline
-            && self.gateway.traffic.borrow_mut().try_repeat(self.gateway.now(), &self.service)
+            && self.gateway.traffic.borrow_mut().try_retry(self.gateway.now(), &self.service)
     }
 
     fn demand(&self, no: RequestNo) -> Demand {
--- a/tests/testsuite/traffic.rs
+++ b/tests/testsuite/traffic.rs
@@ -277,7 +277,7 @@
         budget.on_request(now, allowance);
         requests.push(now);
         for _ in 0..3 {
-            if budget.try_repeat(now, allowance, ENTRIES) {
+            if budget.try_retry(now, allowance, ENTRIES) {
                 repeats.push(now);
             }
         }
