--- a/src/kingcupgrade/coordination/traffic/backlog.rs
+++ b/src/kingcupgrade/coordination/traffic/backlog.rs
@@ -33,7 +33,7 @@
 
     /// Advances the estimate by the time since the last call; `rate` is this entry's share of the
     /// engine's read rate, in tokens per millisecond.
-    pub fn read(&mut self, now: Millis, rate: f64) {
+    pub fn advance(&mut self, now: Millis, rate: f64) {
         let mut tokens = now.since(self.at).0 as f64 * rate;
         self.at = now;
         while let Some(first) = self.prompts.front_mut() {
--- a/src/kingcupgrade/coordination/traffic/mod.rs
+++ b/src/kingcupgrade/coordination/traffic/mod.rs
@@ -218,7 +218,7 @@
 
     /// Returns the load report to send to the other entries, and marks its prompt parts as
     /// announced.
-    pub fn tell(&mut self, now: Millis) -> LoadReport {
+    pub fn take_report(&mut self, now: Millis) -> LoadReport {
         let news = std::mem::take(&mut self.unannounced_parts).into_iter();
         let kept = news.map(|(name, parts)| KeptParts(name, parts)).collect();
         LoadReport { kept, ..self.report(now) }
--- a/src/kingcupgrade/coordination/traffic/queue.rs
+++ b/src/kingcupgrade/coordination/traffic/queue.rs
@@ -87,7 +87,7 @@
     /// The request counts as asked for and refused. If it weren't counted, an organisation whose
     /// callers all use one busy entry would seem to ask for little, and would not limit the
     /// organisations that take its share at other entries.
-    pub fn turn_away(&mut self, now: Millis, demand: &Demand) -> Millis {
+    pub fn refuse_overloaded(&mut self, now: Millis, demand: &Demand) -> Millis {
         let work = demand.work();
         self.shares.on_asked(now, &demand.organisation, work);
         self.shares.on_refused(now, &demand.organisation, work);
@@ -140,7 +140,7 @@
     }
 
     /// Removes a waiting request whose caller has left.
-    pub fn forget(&mut self, no: RequestNo) {
+    pub fn cancel_waiting(&mut self, no: RequestNo) {
         self.waiting.retain(|waiting| waiting.demand.no != no);
     }
 
--- a/src/kingcupgrade/coordination/traffic/upstream.rs
+++ b/src/kingcupgrade/coordination/traffic/upstream.rs
@@ -128,7 +128,7 @@
     pub fn advance_reading(&mut self, now: Millis, rate: f64) {
         let own = self.backlog.tokens() as f64;
         let part = own / (own + self.peers.unread as f64).max(1.0);
-        self.backlog.read(now, rate * part);
+        self.backlog.advance(now, rate * part);
         self.own.unread = self.backlog.tokens();
     }
 
--- a/src/kingcupgrade/transport/gateway/caller/mod.rs
+++ b/src/kingcupgrade/transport/gateway/caller/mod.rs
@@ -160,7 +160,8 @@
     pub(super) fn turn_away(&self) -> Response<AnswerBody<E>> {
         // Nothing is kept of it that its number would name.
         let demand = self.demand(0);
-        let retry_after = self.gateway.traffic.borrow_mut().turn_away(self.arrived, &demand);
+        let retry_after =
+            self.gateway.traffic.borrow_mut().refuse_overloaded(self.arrived, &demand);
         self.refuse(Code::TooBusy, retry_after)
     }
 
--- a/src/kingcupgrade/transport/gateway/caller/ticket.rs
+++ b/src/kingcupgrade/transport/gateway/caller/ticket.rs
@@ -49,7 +49,7 @@
 impl<E: Edge> Drop for Ticket<E> {
     fn drop(&mut self) {
         if self.is_open {
-            self.gateway.traffic.borrow_mut().forget(self.no);
+            self.gateway.traffic.borrow_mut().cancel_waiting(self.no);
             self.gateway.waiting.borrow_mut().remove(&self.no);
             self.close(SendEnd::Cancelled);
         }
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -321,7 +321,7 @@
                 let mut traffic = gateway.traffic.borrow_mut();
                 traffic.expire_reports(now);
                 next_share = now + share_interval(traffic.entry_count());
-                traffic.tell(now)
+                traffic.take_report(now)
             };
             gateway.fleet.tell(FleetInput::Share(report));
         }
--- a/tests/testsuite/fleet_load.rs
+++ b/tests/testsuite/fleet_load.rs
@@ -165,7 +165,7 @@
         let verdict = match is_carried {
             true => self.fleet[entry].admit(Millis(now), demand),
             false => {
-                let retry_after = self.fleet[entry].turn_away(Millis(now), &demand);
+                let retry_after = self.fleet[entry].refuse_overloaded(Millis(now), &demand);
                 Some(Verdict::Refuse { code: Code::TooBusy, retry_after })
             }
         };
@@ -209,7 +209,7 @@
     /// Lets every entry hear the sum of what the others told a moment ago.
     fn tell(&mut self, now: u64) {
         if now.is_multiple_of(TELL_INTERVAL) {
-            let reports = self.fleet.iter_mut().map(|traffic| traffic.tell(Millis(now)));
+            let reports = self.fleet.iter_mut().map(|traffic| traffic.take_report(Millis(now)));
             let reports: Vec<LoadReport> = reports.collect();
             self.told.insert(now + TELL_DELAY, reports);
         }
--- a/tests/testsuite/kept.rs
+++ b/tests/testsuite/kept.rs
@@ -24,7 +24,7 @@
     let (mut one, mut other) = (traffic(1e9, 4), traffic(1e9, 4));
     let now = Millis(100);
     assert!(to_read(&mut one, now, 1, 7) > 5_000);
-    let told = one.tell(now);
+    let told = one.take_report(now);
     other.on_report(now, "e-127.0.0.9".into(), told);
     assert_eq!(to_read(&mut other, Millis(110), 1, 7), u64::from(OWN_TOKENS));
 }
@@ -39,7 +39,7 @@
         let now = Millis(second * 1_000);
         to_read(&mut traffic, now, second, 7);
         traffic.on_first_event(now, second);
-        told.push(traffic.tell(now).kept.len());
+        told.push(traffic.take_report(now).kept.len());
     }
     assert_eq!(told.iter().sum::<usize>(), 3, "{told:?}");
     assert_eq!((told[0], told[10], told[20]), (1, 1, 1), "{told:?}");
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -97,7 +97,7 @@
     let before = Millis(110);
     assert!(place(traffic.admit(before, demand(1, before, "wide", 5, 100))).is_some());
     for no in 2..100 {
-        traffic.turn_away(before, &demand(no, before, "near", 6, 100));
+        traffic.refuse_overloaded(before, &demand(no, before, "near", 6, 100));
     }
     let after = Millis(220);
     let ahead = traffic.admit(after, demand(100, after, "wide", 5, 100));
--- a/tests/testsuite/traffic.rs
+++ b/tests/testsuite/traffic.rs
@@ -156,7 +156,7 @@
         let now = Millis(no * 5);
         match traffic.admit(now, demand(no, now, "flood", 5, 4_000)) {
             Some(Verdict::Start(_)) => finish(&mut traffic, now, no),
-            _ => traffic.forget(no),
+            _ => traffic.cancel_waiting(no),
         }
     }
     // A second one asks as well, so that the first is beyond what the least served one gets.
@@ -217,7 +217,7 @@
                     finish(&mut traffic, now, no);
                     sent += 1;
                 }
-                _ => traffic.forget(no),
+                _ => traffic.cancel_waiting(no),
             }
         }
     }
@@ -297,10 +297,10 @@
 #[test]
 fn unread_prompts_shrink_with_time() {
     let mut backlog = Backlog::default();
-    backlog.read(Millis(0), 100.0);
+    backlog.advance(Millis(0), 100.0);
     backlog.push(1, 50_000);
     backlog.push(2, 10_000);
-    backlog.read(Millis(400), 100.0);
+    backlog.advance(Millis(400), 100.0);
     assert_eq!(backlog.tokens(), 20_000);
     backlog.on_first_event(1);
     assert_eq!(backlog.tokens(), 10_000);
