--- a/src/kingcupgrade/coordination/fleet/io.rs
+++ b/src/kingcupgrade/coordination/fleet/io.rs
@@ -23,17 +23,17 @@
     Received(Instance, Message),
     /// An operator sends a command to change or query the record, and waits for the reply for at
     /// most the given time.
-    Asked(Ticket, Command, Millis),
+    Command(Ticket, Command, Millis),
     /// This entry's load report is to be sent to the other entries.
-    Share(LoadReport),
+    ShareLoad(LoadReport),
     /// This entry read the platform's list of upstreams; the change is to be sent to the entries
     /// that its duty covers.
     ShareListing(ListingNews, ListingDuty),
     /// The platform's list of upstreams, or the one that a change builds on, is not known here and
     /// is to be requested: from the given instance, or from the entries that may know it.
-    WantListing(Option<Instance>),
+    RequestListing(Option<Instance>),
     /// The platform's list of upstreams is to be sent to an entry that requested it.
-    TellListing(Instance, ListingNews),
+    SendListing(Instance, ListingNews),
     /// Writing to the disk failed.
     StorageFailed(CodedError),
     /// The disk works again; the replica was opened anew from it.
@@ -62,11 +62,11 @@
     /// The entries or control instances of the fleet changed; these are the entries.
     Entries(Vec<Resident>),
     /// Another entry's load report arrived.
-    Heard(Instance, LoadReport),
+    LoadReceived(Instance, LoadReport),
     /// A change of the platform's list of upstreams, or the whole list, arrived from another entry.
-    Listed(Instance, ListingNews),
+    ListingReceived(Instance, ListingNews),
     /// Another entry requested the platform's list of upstreams.
-    ListingWanted(Instance),
+    ListingRequested(Instance),
     /// The control instance that is asked for the configuration changed, or whether the
     /// configuration is confirmed.
     SourceChanged(ConfigurationSource),
--- a/src/kingcupgrade/coordination/fleet/load_exchange.rs
+++ b/src/kingcupgrade/coordination/fleet/load_exchange.rs
@@ -121,7 +121,7 @@
     /// Send a message to several entries.
     SendToAll(Vec<Instance>, Message),
     /// Other entries have this load under way.
-    Heard(Instance, LoadReport),
+    LoadReceived(Instance, LoadReport),
 }
 
 /// The reports and sums known to one entry.
@@ -228,7 +228,7 @@
         mut report: LoadReport,
     ) -> Option<LoadExchangeOutput> {
         if self.topology.is_mesh() {
-            return Some(LoadExchangeOutput::Heard(from.clone(), report));
+            return Some(LoadExchangeOutput::LoadReceived(from.clone(), report));
         }
         if self.topology.members.is_some() {
             add_announcements(&mut self.local_cached_parts, &mut report.kept);
@@ -260,7 +260,7 @@
             sum.add(report, -1);
         }
         let report = LoadReport { kept: total.report.kept.clone(), ..sum.to_report() };
-        Some(LoadExchangeOutput::Heard(Instance::from(TOTAL_SENDER), report))
+        Some(LoadExchangeOutput::LoadReceived(Instance::from(TOTAL_SENDER), report))
     }
 }
 
--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -49,7 +49,9 @@
     fn from(output: LoadExchangeOutput) -> FleetOutput {
         match output {
             LoadExchangeOutput::SendToAll(to, message) => FleetOutput::SendToAll(to, message),
-            LoadExchangeOutput::Heard(from, report) => FleetOutput::Heard(from, report),
+            LoadExchangeOutput::LoadReceived(from, report) => {
+                FleetOutput::LoadReceived(from, report)
+            }
         }
     }
 }
@@ -128,14 +130,14 @@
             FleetInput::Received(from, message) => {
                 self.on_message(now, unix_ms, &from, message, out);
             }
-            FleetInput::Asked(ticket, command, timeout) => {
+            FleetInput::Command(ticket, command, timeout) => {
                 let id = self.client.propose(now, command, timeout);
                 self.awaited.insert(id, ticket);
             }
-            FleetInput::Share(report) => self.share(now, report, out),
+            FleetInput::ShareLoad(report) => self.share(now, report, out),
             FleetInput::ShareListing(news, duty) => self.share_listing(news, duty, out),
-            FleetInput::WantListing(from) => self.request_listing(from, out),
-            FleetInput::TellListing(to, news) => {
+            FleetInput::RequestListing(from) => self.request_listing(from, out),
+            FleetInput::SendListing(to, news) => {
                 out.push(FleetOutput::Send(to, Message::Fleet(FleetMessage::Listing(news))));
             }
             FleetInput::StorageFailed(err) => {
@@ -270,8 +272,10 @@
                     self.load_exchange.on_total(&self.instance, &total).map(FleetOutput::from),
                 );
             }
-            FleetMessage::Listing(news) => out.push(FleetOutput::Listed(from.clone(), news)),
-            FleetMessage::ListingWanted => out.push(FleetOutput::ListingWanted(from.clone())),
+            FleetMessage::Listing(news) => {
+                out.push(FleetOutput::ListingReceived(from.clone(), news))
+            }
+            FleetMessage::ListingWanted => out.push(FleetOutput::ListingRequested(from.clone())),
         }
     }
 
--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -229,7 +229,7 @@
                 let ticket = self.next_ticket;
                 self.next_ticket += 1;
                 self.operators.insert(ticket, tx);
-                FleetInput::Asked(ticket, command, patience)
+                FleetInput::Command(ticket, command, patience)
             }
         };
         self.node.handle(self.clock.now(), unix_ms(), input, out);
@@ -310,9 +310,9 @@
                 log::event("entries", &entries.len());
                 (self.news)(FleetNews::Entries(entries));
             }
-            FleetOutput::Heard(from, report) => (self.news)(FleetNews::Heard(from, report)),
-            FleetOutput::Listed(from, news) => (self.news)(FleetNews::Listed(from, news)),
-            FleetOutput::ListingWanted(from) => (self.news)(FleetNews::ListingWanted(from)),
+            FleetOutput::LoadReceived(from, report) => (self.news)(FleetNews::Heard(from, report)),
+            FleetOutput::ListingReceived(from, news) => (self.news)(FleetNews::Listed(from, news)),
+            FleetOutput::ListingRequested(from) => (self.news)(FleetNews::ListingWanted(from)),
             FleetOutput::SourceChanged(source) => log::event("configuration-source", &source),
             FleetOutput::Restarted { instance, restarts } => {
                 counter!("kingcup_restarts_seen").increment(1);
--- a/src/kingcupgrade/transport/gateway/listing.rs
+++ b/src/kingcupgrade/transport/gateway/listing.rs
@@ -92,7 +92,7 @@
         let age = news.age;
         let mut known = self.listing.borrow_mut();
         if !known.listing.on_change(news) {
-            self.fleet.tell(FleetInput::WantListing(Some(from)));
+            self.fleet.tell(FleetInput::RequestListing(Some(from)));
             return;
         }
         known.age = Some(Age { before: age, ..Age::start() });
@@ -112,7 +112,7 @@
         let known = self.listing.borrow();
         let age = known.age.as_ref().and_then(Age::get).filter(|age| *age < MAX_SHARED_AGE);
         if let (Some(age), Some(news)) = (age, known.listing.full_list()) {
-            self.fleet.tell(FleetInput::TellListing(to, ListingNews { age, ..news }));
+            self.fleet.tell(FleetInput::SendListing(to, ListingNews { age, ..news }));
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -208,7 +208,7 @@
                 }
                 self.traffic.borrow_mut().set_entries(all);
                 if !self.listing_plan.borrow().is_known() {
-                    self.fleet.tell(FleetInput::WantListing(None));
+                    self.fleet.tell(FleetInput::RequestListing(None));
                 }
             }
             FleetNews::Listed(from, news) => self.on_listing_news(from, news),
@@ -323,7 +323,7 @@
                 next_share = now + share_interval(traffic.entry_count());
                 traffic.take_report(now)
             };
-            gateway.fleet.tell(FleetInput::Share(report));
+            gateway.fleet.tell(FleetInput::ShareLoad(report));
         }
         if now >= next_sweep {
             next_sweep = now + SWEEP;
--- a/tests/testsuite/isolation.rs
+++ b/tests/testsuite/isolation.rs
@@ -146,7 +146,7 @@
         self.version += 1;
         let (version, text) = (self.version, format!("configuration {}", self.version).into());
         let command = Command::Replace(StoredConfiguration { version, text, index: 0 });
-        self.handle(host, FleetInput::Asked(version, command, PATIENCE));
+        self.handle(host, FleetInput::Command(version, command, PATIENCE));
     }
 
     fn handle(&mut self, host: usize, input: FleetInput) {
--- a/tests/testsuite/model_fleet.rs
+++ b/tests/testsuite/model_fleet.rs
@@ -294,7 +294,7 @@
                 Command::Replace(StoredConfiguration { version, text, index: 0 })
             }
         };
-        self.handle(host, FleetInput::Asked(ticket, command, PATIENCE));
+        self.handle(host, FleetInput::Command(ticket, command, PATIENCE));
     }
 
     fn on_answer(&mut self, ticket: Ticket, reply: &Reply) {
--- a/tests/testsuite/totals.rs
+++ b/tests/testsuite/totals.rs
@@ -85,7 +85,7 @@
                         self.handle(now, &peer, told);
                     }
                 }
-                FleetOutput::Heard(from, report) => {
+                FleetOutput::LoadReceived(from, report) => {
                     self.kept.entry(entry.clone()).or_default().extend(report.kept.clone());
                     self.heard.entry(entry.clone()).or_default().insert(from, report);
                 }
@@ -101,7 +101,7 @@
             let loads = vec![("engine".into(), load)];
             let served = vec![("alder".into(), 10.0)];
             let report = LoadReport { loads, served, ..LoadReport::default() };
-            self.handle(now, &entry, FleetInput::Share(report));
+            self.handle(now, &entry, FleetInput::ShareLoad(report));
         }
     }
 
@@ -176,7 +176,7 @@
         let kept = KeptParts("engine".into(), vec![7, 8]);
         let teller = fleet.names().pop().expect("an entry");
         let report = LoadReport { kept: vec![kept.clone()], ..LoadReport::default() };
-        fleet.handle(Millis(200), &teller, FleetInput::Share(report));
+        fleet.handle(Millis(200), &teller, FleetInput::ShareLoad(report));
         for round in 2..5_u64 {
             fleet.share(Millis(round * 200), |_| 1);
         }
