--- a/src/kingcupgrade/coordination/listing.rs
+++ b/src/kingcupgrade/coordination/listing.rs
@@ -42,7 +42,7 @@
 const SECOND_STAND_IN_START: Millis = Millis(400);
 /// Entries that start together and receive nothing start to read spread over the stagger divided by
 /// this.
-const START_STAGGER_PART: u64 = 2;
+const START_STAGGER_DIVISOR: u64 = 2;
 /// A list is sent to an entry that starts only if it is younger than this.
 pub const MAX_SHARED_AGE: Millis = Millis(1_000);
 /// The number of entries that may all read at the interval of a reader without exceeding the rate
@@ -126,7 +126,7 @@
             (ListingDuty::StandsInSecond, false) => SECOND_STAND_IN_START,
             (ListingDuty::Hears, true) => MAX_SILENCE + self.stagger,
             (ListingDuty::Hears, false) => {
-                START_SILENCE + Millis(self.stagger.0 / START_STAGGER_PART)
+                START_SILENCE + Millis(self.stagger.0 / START_STAGGER_DIVISOR)
             }
         };
         let next = if duty == ListingDuty::Hears { self.next_unaided_read } else { self.next_read };
--- a/src/kingcupgrade/coordination/traffic/budget.rs
+++ b/src/kingcupgrade/coordination/traffic/budget.rs
@@ -8,8 +8,8 @@
 
 use crate::core::Millis;
 
-/// Slices of the window. Each is counted and dropped as a whole, so more slices drop old counts
-/// sooner.
+/// The number of slices of the window. Each is counted and dropped as a whole, so more slices drop
+/// old counts sooner.
 const SLICES: u64 = 10;
 /// The fraction of the allowance that is spent. Arrivals are counted at the upstreams a little
 /// after they are sent here, and so fall into windows that this entry can't see exactly.
@@ -66,6 +66,6 @@
         if self.slices.back().is_none_or(|slice| slice.index != index) {
             self.slices.push_back(Slice { index, ..Slice::default() });
         }
-        self.slices.back_mut().expect("a slice was pushed")
+        self.slices.back_mut().expect("the current slice exists")
     }
 }
--- a/src/kingcupgrade/coordination/traffic/decaying_sum.rs
+++ b/src/kingcupgrade/coordination/traffic/decaying_sum.rs
@@ -16,7 +16,7 @@
         self.at = now;
     }
 
-    /// Returns the sum at `now`, decayed with the time constant `time_constant`.
+    /// Returns the sum at `now`; `time_constant` is that of the decay.
     pub fn get(&self, now: Millis, time_constant: Millis) -> f64 {
         let age = now.since(self.at).0 as f64 / time_constant.0.max(1) as f64;
         self.value * (-age).exp()
--- a/src/kingcupgrade/coordination/traffic/health.rs
+++ b/src/kingcupgrade/coordination/traffic/health.rs
@@ -46,8 +46,8 @@
         self.failure_rate -= SAMPLE_WEIGHT * self.failure_rate;
     }
 
-    /// Records a request that was sent and failed; `service_rate` is the failure rate
-    /// of its service.
+    /// Records a request that was sent and failed; `service_rate` is the failure rate of its
+    /// service.
     pub fn on_failure(&mut self, now: Millis, service_rate: f64) {
         self.answers = self.answers.saturating_add(1);
         self.failure_rate += SAMPLE_WEIGHT * (1.0 - self.failure_rate);
--- a/src/kingcupgrade/coordination/traffic/mod.rs
+++ b/src/kingcupgrade/coordination/traffic/mod.rs
@@ -62,7 +62,7 @@
     service: Service,
     organisation: Organisation,
     route: Arc<str>,
-    sent: Millis,
+    sent_at: Millis,
     /// Prompt tokens to be read at the upstream before its first event, its own included.
     tokens_ahead: u64,
     memory: u64,
@@ -162,7 +162,7 @@
         self.entries.len().max(1)
     }
 
-    /// Returns the requests a second that this entry may send to a cold upstream.
+    /// Returns the requests per second that this entry may send to a cold upstream.
     fn cold_rate(&self, plan: &ServicePlan, upstream: &UpstreamName) -> f64 {
         cold_rate_share(plan.cold_per_s, upstream, &self.settings.instance(), &self.entries)
     }
@@ -216,11 +216,11 @@
         self.peer_reports.expire(now, entries, &mut self.upstreams);
     }
 
-    /// Returns the load report to send to the other entries, and marks its prompt parts as
-    /// announced.
+    /// Returns the load report to send to the other entries, with the prompt parts that were not
+    /// announced yet.
     pub fn take_report(&mut self, now: Millis) -> LoadReport {
-        let news = std::mem::take(&mut self.unannounced_parts).into_iter();
-        let kept = news.map(|(name, parts)| KeptParts(name, parts)).collect();
+        let announcements = std::mem::take(&mut self.unannounced_parts).into_iter();
+        let kept = announcements.map(|(name, parts)| KeptParts(name, parts)).collect();
         LoadReport { kept, ..self.report(now) }
     }
 
@@ -239,16 +239,16 @@
 
     /// Returns the number of tokens that a request is expected to generate: the mean of the
     /// caller's hint and the route's moving average, or the one of them that is known. With neither
-    /// it is half of `most`, the largest allowed.
-    pub fn expected_output(&self, route: &str, hint: Option<u32>, most: u32) -> u32 {
-        let learned = self.output_averages.get(route).copied();
-        let expected = match (hint, learned) {
-            (Some(hint), Some(learned)) => (f64::from(hint) + learned) / 2.0,
+    /// it is half of `max_output`, the largest number allowed.
+    pub fn expected_output(&self, route: &str, hint: Option<u32>, max_output: u32) -> u32 {
+        let average = self.output_averages.get(route).copied();
+        let expected = match (hint, average) {
+            (Some(hint), Some(average)) => (f64::from(hint) + average) / 2.0,
             (Some(hint), None) => f64::from(hint),
-            (None, Some(learned)) => learned,
-            (None, None) => f64::from(most) / 2.0,
+            (None, Some(average)) => average,
+            (None, None) => f64::from(max_output) / 2.0,
         };
-        (expected as u32).clamp(1, most.max(1))
+        (expected as u32).clamp(1, max_output.max(1))
     }
 
     /// Counts a caller's request towards the service's retry budget.
@@ -292,16 +292,16 @@
         upstream.backlog.push(demand.no, unread);
         upstream.own.unread = upstream.backlog.tokens();
         upstream.own.memory += memory;
-        let news = upstream.record_prompt(now, demand);
-        if !news.is_empty() {
-            self.unannounced_parts.entry(name.clone()).or_default().extend(news);
+        let announcements = upstream.record_prompt(now, demand);
+        if !announcements.is_empty() {
+            self.unannounced_parts.entry(name.clone()).or_default().extend(announcements);
         }
         let sent = SentRequest {
             upstream: name.clone(),
             service: demand.service.clone(),
             organisation: demand.organisation.clone(),
             route: demand.route.clone(),
-            sent: now,
+            sent_at: now,
             tokens_ahead,
             memory,
             prompt,
@@ -333,7 +333,7 @@
             upstream.own.unread = upstream.backlog.tokens();
         }
         let speed = self.speeds.entry(sent.service.clone()).or_default();
-        speed.on_first_event(sent.tokens_ahead, now.since(sent.sent));
+        speed.on_first_event(sent.tokens_ahead, now.since(sent.sent_at));
     }
 
     /// Records generated tokens.
@@ -383,19 +383,19 @@
 
     fn median_failure_rate(&self, service: &Service) -> f64 {
         let names = self.by_service.get(service).into_iter().flatten();
-        let mut shares: Vec<f64> =
+        let mut rates: Vec<f64> =
             names.map(|name| self.upstreams[name].health.failure_rate()).collect();
-        shares.sort_by(f64::total_cmp);
-        shares.get(shares.len() / 2).copied().unwrap_or(0.0)
+        rates.sort_by(f64::total_cmp);
+        rates.get(rates.len() / 2).copied().unwrap_or(0.0)
     }
 
     fn update_output_average(&mut self, now: Millis, sent: &SentRequest, end: SendEnd) {
         if sent.prompt == 0 || end != SendEnd::Answered {
             return;
         }
-        let learned =
+        let average =
             self.output_averages.entry(sent.route.clone()).or_insert(f64::from(sent.generated));
-        *learned += OUTPUT_SAMPLE_WEIGHT * (f64::from(sent.generated) - *learned);
+        *average += OUTPUT_SAMPLE_WEIGHT * (f64::from(sent.generated) - *average);
         let surplus = f64::from(sent.generated) - f64::from(sent.output);
         self.shares.on_served(now, &sent.organisation, 2.0 * surplus);
     }
--- a/src/kingcupgrade/coordination/traffic/peer_reports.rs
+++ b/src/kingcupgrade/coordination/traffic/peer_reports.rs
@@ -98,7 +98,7 @@
         if !self.usage.contains_key(organisation) {
             self.usage.insert(organisation.clone(), PeerUsage::default());
         }
-        self.usage.get_mut(organisation).expect("it was inserted")
+        self.usage.get_mut(organisation).expect("the organisation is in the map")
     }
 }
 
--- a/src/kingcupgrade/coordination/traffic/placement.rs
+++ b/src/kingcupgrade/coordination/traffic/placement.rs
@@ -138,7 +138,7 @@
         Millis((least as f64 / speed.read_rate()) as u64)
     }
 
-    /// Lists the upstreams that may get a request: those that are ready, in service and not
+    /// Returns the upstreams that may get a request: those that are ready, in service and not
     /// ejected. If more than two thirds are ejected, they are included too.
     fn usable(&self, now: Millis, demand: &Demand) -> Vec<UpstreamName> {
         let all = self.by_service.get(&demand.service).into_iter().flatten();
@@ -179,7 +179,8 @@
         return None;
     }
     let own_part = demand.prompt.last().map_or(0, |part| u64::from(part.tokens));
-    // Other entries have already sent the shared parts to their preferred engine.
+    // The preferred engine is assumed to have cached the shared parts: other entries have sent them
+    // to it before.
     let unread = if fit.position == 0 {
         own_part
     } else {
--- a/src/kingcupgrade/coordination/traffic/shares.rs
+++ b/src/kingcupgrade/coordination/traffic/shares.rs
@@ -189,7 +189,7 @@
     pub fn status(&self, now: Millis, organisation: &Organisation, work: f64) -> ShareStatus {
         let Some(counts) = self.counts.get(organisation) else { return ShareStatus::Within };
         let before = self.charged(now, organisation, counts)
-            + self.served_elsewhere_since(now, organisation, counts);
+            + self.estimated_peer_served(now, organisation, counts);
         // Half of the request counts, so that a request larger than a share isn't refused forever.
         let served = before + work / 2.0;
         if counts.asked <= self.even_level || served <= self.even_level {
@@ -210,8 +210,8 @@
         let Some(counts) = self.counts.get(organisation) else { return Millis::ZERO };
         let charged = self.charged(now, organisation, counts);
         let level = self.spare_level.max(1.0);
-        let spans = (charged / level).max(1.0).ln();
-        Millis((spans * SHARE_TIME_CONSTANT.0 as f64) as u64)
+        let time_constants = (charged / level).max(1.0).ln();
+        Millis((time_constants * SHARE_TIME_CONSTANT.0 as f64) as u64)
     }
 
     /// Returns the tokens served to an organisation by all entries, without what was spare.
@@ -238,7 +238,7 @@
     /// All entries know the same outdated sums. Without the estimate all of them would find
     /// capacity in a share at the same moment, and would serve everything asked of them until they
     /// hear of each other.
-    fn served_elsewhere_since(
+    fn estimated_peer_served(
         &self,
         now: Millis,
         organisation: &Organisation,
@@ -302,14 +302,14 @@
 /// `capacity`; infinite if they ask for less than that.
 fn max_min_level(mut asked: Vec<f64>, capacity: f64) -> f64 {
     asked.sort_by(f64::total_cmp);
-    let mut left = capacity;
+    let mut capacity_left = capacity;
     let mut remaining = asked.len();
     for amount in asked {
-        let even = left / remaining as f64;
+        let even = capacity_left / remaining as f64;
         if amount > even {
             return even;
         }
-        left -= amount;
+        capacity_left -= amount;
         remaining -= 1;
     }
     f64::INFINITY
--- a/src/kingcupgrade/coordination/view.rs
+++ b/src/kingcupgrade/coordination/view.rs
@@ -79,7 +79,7 @@
         self.upstreams.get(upstream).is_some_and(|standing| standing.out)
     }
 
-    /// Returns the latest order for each upstream that has one.
+    /// Returns the latest order for each upstream that has one, also if it was withdrawn.
     pub fn orders(&self) -> impl Iterator<Item = &UpstreamOrder> {
         self.orders.values()
     }
