--- a/crates/kingcup-support/src/traffic.rs
+++ b/crates/kingcup-support/src/traffic.rs
@@ -86,7 +86,7 @@
         target: now + TARGET,
         deadline: now + Millis(10_000),
         prompt: parts.into(),
-        output: 200,
+        expected_output: 200,
         avoid: Vec::new(),
     }
 }
--- a/src/kingcupgrade/coordination/traffic/demand.rs
+++ b/src/kingcupgrade/coordination/traffic/demand.rs
@@ -37,7 +37,7 @@
     /// engines.
     pub prompt: Arc<[PromptPart]>,
     /// The number of tokens that the request is expected to generate.
-    pub output: u32,
+    pub expected_output: u32,
     /// Upstreams that the request must not be sent to again.
     pub avoid: Vec<UpstreamName>,
 }
@@ -59,6 +59,6 @@
     /// Returns the work that the request is for an engine, in tokens: prompt tokens count once,
     /// generated tokens twice.
     pub fn work(&self) -> f64 {
-        self.prompt_tokens() as f64 + 2.0 * f64::from(self.output)
+        self.prompt_tokens() as f64 + 2.0 * f64::from(self.expected_output)
     }
 }
--- a/src/kingcupgrade/coordination/traffic/mod.rs
+++ b/src/kingcupgrade/coordination/traffic/mod.rs
@@ -67,7 +67,7 @@
     tokens_ahead: u64,
     memory: u64,
     prompt: u64,
-    output: u32,
+    expected_output: u32,
     /// The work charged to its organisation's share, in tokens.
     work: f64,
     has_begun: bool,
@@ -287,7 +287,7 @@
             expected_ms: if is_engine { speed.first_event_ms(tokens_ahead) as u64 } else { 0 },
         };
         // Prompt parts that the upstream has cached take no more memory for another request.
-        let memory = unread + u64::from(demand.output);
+        let memory = unread + u64::from(demand.expected_output);
         upstream.own.running += 1;
         upstream.backlog.push(demand.no, unread);
         upstream.own.unread = upstream.backlog.tokens();
@@ -305,7 +305,7 @@
             tokens_ahead,
             memory,
             prompt,
-            output: demand.output,
+            expected_output: demand.expected_output,
             work: demand.work(),
             has_begun: false,
             generated: 0,
@@ -396,7 +396,7 @@
         let average =
             self.output_averages.entry(sent.route.clone()).or_insert(f64::from(sent.generated));
         *average += OUTPUT_SAMPLE_WEIGHT * (f64::from(sent.generated) - *average);
-        let surplus = f64::from(sent.generated) - f64::from(sent.output);
+        let surplus = f64::from(sent.generated) - f64::from(sent.expected_output);
         self.shares.on_served(now, &sent.organisation, 2.0 * surplus);
     }
 }
--- a/src/kingcupgrade/coordination/traffic/placement.rs
+++ b/src/kingcupgrade/coordination/traffic/placement.rs
@@ -191,7 +191,7 @@
         return None;
     }
     let time_limit = fit.ms_to_target * fit.terms.time_fraction;
-    let needed = upstream.memory() + unread + u64::from(demand.output);
+    let needed = upstream.memory() + unread + u64::from(demand.expected_output);
     if needed as f64 > fit.kv_capacity as f64 * MEMORY_FRACTION {
         return None;
     }
--- a/src/kingcupgrade/transport/gateway/caller/mod.rs
+++ b/src/kingcupgrade/transport/gateway/caller/mod.rs
@@ -326,7 +326,7 @@
             target: self.target,
             deadline: self.deadline_at,
             prompt: self.prompt.clone(),
-            output: self.output,
+            expected_output: self.output,
             avoid: self.progress.borrow().avoid.clone(),
         }
     }
--- a/tests/testsuite/traffic.rs
+++ b/tests/testsuite/traffic.rs
@@ -44,7 +44,7 @@
     Demand {
         service: Service::from("plain"),
         prompt: Vec::new().into(),
-        output: 0,
+        expected_output: 0,
         ..demand(no, now, organisation, 1, 1)
     }
 }
