--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -261,7 +261,7 @@
             }
             FleetMessage::SameRoster(number) => self.roster.on_unchanged(now, from, number),
             FleetMessage::Load(report) => {
-                self.roster.on_heard(now, from);
+                self.roster.on_message_from(now, from);
                 out.extend(self.load_exchange.on_load(now, from, report).map(FleetOutput::from));
             }
             FleetMessage::DomainSum(domain, sum) => {
--- a/src/kingcupgrade/coordination/fleet/roster.rs
+++ b/src/kingcupgrade/coordination/fleet/roster.rs
@@ -51,7 +51,7 @@
 struct Process {
     started: u64,
     restarts: u32,
-    heard: Millis,
+    last_heard: Millis,
 }
 
 /// The known instances of the fleet.
@@ -109,8 +109,8 @@
     /// restart.
     fn record_start(&mut self, now: Millis, instance: &Instance, started: u64) -> Option<u32> {
         let process = self.processes.entry(instance.clone());
-        let process = process.or_insert(Process { started, restarts: 0, heard: now });
-        process.heard = now;
+        let process = process.or_insert(Process { started, restarts: 0, last_heard: now });
+        process.last_heard = now;
         if started <= process.started {
             return None;
         }
@@ -121,9 +121,9 @@
 
     /// Records a message that an entry sent to this one; its failure domain is known from the
     /// roster.
-    pub fn on_heard(&mut self, now: Millis, instance: &Instance) {
-        if let Some((_, heard)) = self.entries.get_mut(instance) {
-            *heard = now;
+    pub fn on_message_from(&mut self, now: Millis, instance: &Instance) {
+        if let Some((_, last_heard)) = self.entries.get_mut(instance) {
+            *last_heard = now;
         }
     }
 
@@ -179,9 +179,9 @@
         let has_recent_update =
             self.last_update.is_some_and(|last_update| now.since(last_update) <= ENTRY_TTL);
         if is_control || has_recent_update {
-            self.entries.retain(|_, (_, heard)| now.since(*heard) <= ENTRY_TTL);
-            self.controls.retain(|_, heard| now.since(*heard) <= CONTROL_TTL);
-            self.processes.retain(|_, process| now.since(process.heard) <= PROCESS_TTL);
+            self.entries.retain(|_, (_, last_heard)| now.since(*last_heard) <= ENTRY_TTL);
+            self.controls.retain(|_, last_heard| now.since(*last_heard) <= CONTROL_TTL);
+            self.processes.retain(|_, process| now.since(process.last_heard) <= PROCESS_TTL);
             let (controls, seeds) = (&self.controls, &self.seeds);
             self.received
                 .retain(|control, _| controls.contains_key(control) || seeds.contains(control));
--- a/src/kingcupgrade/coordination/traffic/shares.rs
+++ b/src/kingcupgrade/coordination/traffic/shares.rs
@@ -82,7 +82,7 @@
     peers: usize,
     /// The age of their reports.
     report_age: Millis,
-    counts: BTreeMap<Organisation, OrganisationUsage>,
+    usage: BTreeMap<Organisation, OrganisationUsage>,
     /// The max-min level of the promised capacity, in tokens per time constant.
     promised_level: f64,
     /// The max-min level of the capacity that is really served, at most the promised level, in
@@ -129,40 +129,40 @@
             return;
         }
         self.last_refresh = Some(now);
-        self.counts.clear();
+        self.usage.clear();
         for (organisation, asked) in &self.asked {
-            let counts = self.counts.entry(organisation.clone()).or_default();
-            counts.asked = asked.get(now, SHARE_TIME_CONSTANT);
+            let usage = self.usage.entry(organisation.clone()).or_default();
+            usage.asked = asked.get(now, SHARE_TIME_CONSTANT);
         }
-        for (organisation, usage) in peers {
-            let counts = self.counts.entry(organisation.clone()).or_default();
-            let ratio = usage.asked.max(0.0) / counts.asked.max(1.0);
+        for (organisation, peer_usage) in peers {
+            let usage = self.usage.entry(organisation.clone()).or_default();
+            let ratio = peer_usage.asked.max(0.0) / usage.asked.max(1.0);
             // The ratio is capped: if little is asked of this entry, one request says little about
             // the other entries.
-            counts.peer_demand_ratio = ratio.min(self.peers as f64);
-            counts.asked += usage.asked;
-            counts.served_by_peers += usage.served;
-            counts.refused += usage.refused;
+            usage.peer_demand_ratio = ratio.min(self.peers as f64);
+            usage.asked += peer_usage.asked;
+            usage.served_by_peers += peer_usage.served;
+            usage.refused += peer_usage.refused;
         }
         for (organisation, refused) in &self.refused {
-            let counts = self.counts.entry(organisation.clone()).or_default();
-            counts.refused += refused.get(now, REFUSED_TIME_CONSTANT);
+            let usage = self.usage.entry(organisation.clone()).or_default();
+            usage.refused += refused.get(now, REFUSED_TIME_CONSTANT);
         }
-        let asked: Vec<f64> = self.counts.values().map(|counts| counts.asked).collect();
+        let asked: Vec<f64> = self.usage.values().map(|usage| usage.asked).collect();
         let promised = capacity * SHARE_TIME_CONSTANT.0 as f64 / 1000.0;
         self.promised_level = max_min_level(asked.clone(), promised);
         let served: f64 = self
-            .counts
+            .usage
             .iter()
-            .map(|(organisation, counts)| self.total_served(now, organisation, counts))
+            .map(|(organisation, usage)| self.total_served(now, organisation, usage))
             .sum();
         self.even_level = self.promised_level.min(max_min_level(asked, served * CAPACITY_GROWTH));
-        let backlogged = self.counts.iter().filter_map(|(organisation, counts)| {
-            let served = self.total_served(now, organisation, counts);
-            let is_limited = counts.asked > self.promised_level;
-            let is_short = counts.asked > served * BACKLOG_RATIO;
-            let is_backlogged = is_limited && is_short && counts.is_refused();
-            is_backlogged.then(|| self.charged(now, organisation, counts))
+        let backlogged = self.usage.iter().filter_map(|(organisation, usage)| {
+            let served = self.total_served(now, organisation, usage);
+            let is_limited = usage.asked > self.promised_level;
+            let is_short = usage.asked > served * BACKLOG_RATIO;
+            let is_backlogged = is_limited && is_short && usage.is_refused();
+            is_backlogged.then(|| self.charged(now, organisation, usage))
         });
         let least = backlogged.fold(f64::INFINITY, f64::min);
         self.spare_level = self.promised_level.max(least * MAX_LEAD);
@@ -177,8 +177,8 @@
     /// backlogged.
     fn update_spare(&mut self, now: Millis) {
         self.spare.clear();
-        for (organisation, counts) in &self.counts {
-            let beyond = self.total_served(now, organisation, counts) - self.promised_level;
+        for (organisation, usage) in &self.usage {
+            let beyond = self.total_served(now, organisation, usage) - self.promised_level;
             if beyond > 0.0 {
                 add_work(&mut self.spare, now, organisation, beyond, SHARE_TIME_CONSTANT);
             }
@@ -187,17 +187,17 @@
 
     /// Returns the share status of an organisation if it were given a request of `work`.
     pub fn status(&self, now: Millis, organisation: &Organisation, work: f64) -> ShareStatus {
-        let Some(counts) = self.counts.get(organisation) else { return ShareStatus::Within };
-        let before = self.charged(now, organisation, counts)
-            + self.estimated_peer_served(now, organisation, counts);
+        let Some(usage) = self.usage.get(organisation) else { return ShareStatus::Within };
+        let before = self.charged(now, organisation, usage)
+            + self.estimated_peer_served(now, organisation, usage);
         // Half of the request counts, so that a request larger than a share isn't refused forever.
         let served = before + work / 2.0;
-        if counts.asked <= self.even_level || served <= self.even_level {
+        if usage.asked <= self.even_level || served <= self.even_level {
             return ShareStatus::Within;
         }
         // The request itself doesn't count: the organisation that got least is never refused for
         // the size of a request.
-        if counts.asked <= self.promised_level || before <= self.spare_level {
+        if usage.asked <= self.promised_level || before <= self.spare_level {
             ShareStatus::Spare
         } else {
             ShareStatus::Over
@@ -207,18 +207,18 @@
     /// Returns the time until an organisation that is over its share may be served again, if it
     /// gets nothing until then.
     pub fn time_to_capacity(&self, now: Millis, organisation: &Organisation) -> Millis {
-        let Some(counts) = self.counts.get(organisation) else { return Millis::ZERO };
-        let charged = self.charged(now, organisation, counts);
+        let Some(usage) = self.usage.get(organisation) else { return Millis::ZERO };
+        let charged = self.charged(now, organisation, usage);
         let level = self.spare_level.max(1.0);
         let time_constants = (charged / level).max(1.0).ln();
         Millis((time_constants * SHARE_TIME_CONSTANT.0 as f64) as u64)
     }
 
     /// Returns the tokens served to an organisation by all entries, without what was spare.
-    fn charged(&self, now: Millis, organisation: &Organisation, counts: &OrganisationUsage) -> f64 {
+    fn charged(&self, now: Millis, organisation: &Organisation, usage: &OrganisationUsage) -> f64 {
         let spare =
             self.spare.get(organisation).map_or(0.0, |spare| spare.get(now, SHARE_TIME_CONSTANT));
-        (self.total_served(now, organisation, counts) - spare).max(0.0)
+        (self.total_served(now, organisation, usage) - spare).max(0.0)
     }
 
     /// Returns the tokens served to an organisation by all entries.
@@ -226,9 +226,9 @@
         &self,
         now: Millis,
         organisation: &Organisation,
-        counts: &OrganisationUsage,
+        usage: &OrganisationUsage,
     ) -> f64 {
-        counts.served_by_peers + self.own_served(now, organisation)
+        usage.served_by_peers + self.own_served(now, organisation)
     }
 
     /// Estimates the tokens that the other entries served to an organisation since their last
@@ -242,11 +242,11 @@
         &self,
         now: Millis,
         organisation: &Organisation,
-        counts: &OrganisationUsage,
+        usage: &OrganisationUsage,
     ) -> f64 {
         let own_served = self.served_recently.get(organisation);
         let own_served = own_served.map_or(0.0, |served| served.get(now, self.report_age).max(0.0));
-        own_served * counts.peer_demand_ratio
+        own_served * usage.peer_demand_ratio
     }
 
     /// Returns the tokens served to an organisation by this entry.
@@ -271,28 +271,28 @@
 }
 
 fn add_work(
-    counts: &mut BTreeMap<Organisation, DecayingSum>,
+    by_organisation: &mut BTreeMap<Organisation, DecayingSum>,
     now: Millis,
     organisation: &Organisation,
     work: f64,
     time_constant: Millis,
 ) {
-    match counts.get_mut(organisation) {
+    match by_organisation.get_mut(organisation) {
         Some(sum) => sum.add(now, work, time_constant),
         None => {
             let mut sum = DecayingSum::default();
             sum.add(now, work, time_constant);
-            counts.insert(organisation.clone(), sum);
+            by_organisation.insert(organisation.clone(), sum);
         }
     }
 }
 
 fn current_sums(
-    counts: &BTreeMap<Organisation, DecayingSum>,
+    by_organisation: &BTreeMap<Organisation, DecayingSum>,
     now: Millis,
     time_constant: Millis,
 ) -> Vec<(Organisation, f32)> {
-    let sums = counts.iter().map(|(organisation, sum)| {
+    let sums = by_organisation.iter().map(|(organisation, sum)| {
         (organisation.clone(), sum.get(now, time_constant).max(0.0) as f32)
     });
     sums.filter(|(_, sum)| *sum >= 1.0).collect()
