--- a/src/kingcupgrade/coordination/dispatcher/neighbours.rs
+++ b/src/kingcupgrade/coordination/dispatcher/exchange.rs
@@ -1,7 +1,8 @@
 //! The dispatchers of the same service in other failure domains.
 
 use super::{
-    Dispatcher, DispatcherOutput, EXCHANGE_BATCH, FULL_EXCHANGE_EVERY, Neighbour, OFFER_MARGIN,
+    Dispatcher, DispatcherOutput, EXCHANGE_BATCH, FULL_EXCHANGE_EVERY, OFFER_MARGIN,
+    RemoteDispatcher,
 };
 use crate::{
     core::{FailureDomain, Instance, Millis},
@@ -9,11 +10,11 @@
 };
 
 impl Dispatcher {
-    pub(super) fn fresh_neighbours(
+    pub(super) fn fresh_remotes(
         &self,
         now: Millis,
-    ) -> impl Iterator<Item = (&FailureDomain, &Neighbour)> {
-        self.neighbours.iter().filter(move |(_, neighbour)| neighbour.is_fresh(now))
+    ) -> impl Iterator<Item = (&FailureDomain, &RemoteDispatcher)> {
+        self.remote_dispatchers.iter().filter(move |(_, remote)| remote.is_fresh(now))
     }
 
     /// Lists the dispatchers elsewhere that should see this pool's demand: those with idle slots,
@@ -22,12 +23,12 @@
         let Some(own_least) = self.counters.least() else { return Vec::new() };
         let unable = !self.serving || self.slots.is_empty();
         let margin = OFFER_MARGIN * self.average_charge;
-        let takes = |neighbour: &Neighbour| {
-            let better_off = neighbour.least.is_some_and(|least| least > own_least + margin);
-            unable || neighbour.free > 0 || better_off
+        let takes = |remote: &RemoteDispatcher| {
+            let better_off = remote.min_counter.is_some_and(|least| least > own_least + margin);
+            unable || remote.free > 0 || better_off
         };
-        let fresh = self.fresh_neighbours(now).filter(|(_, neighbour)| takes(neighbour));
-        fresh.map(|(domain, neighbour)| Offer(domain.clone(), neighbour.holder.clone())).collect()
+        let fresh = self.fresh_remotes(now).filter(|(_, remote)| takes(remote));
+        fresh.map(|(domain, remote)| Offer(domain.clone(), remote.holder.clone())).collect()
     }
 
     /// Returns the slots that nothing waits for.
@@ -39,8 +40,8 @@
     }
 
     pub(super) fn exchange(&mut self, now: Millis, out: &mut Vec<DispatcherOutput>) {
-        self.exchanges += 1;
-        let is_full = self.exchanges.is_multiple_of(FULL_EXCHANGE_EVERY);
+        self.exchange_count += 1;
+        let is_full = self.exchange_count.is_multiple_of(FULL_EXCHANGE_EVERY);
         if is_full {
             self.counters.mark_backlogged_changed();
         }
@@ -53,8 +54,8 @@
 
     /// Returns the holder of another pool of the service, if it was heard of late.
     pub fn known_holder(&self, now: Millis, domain: &FailureDomain) -> Option<&Instance> {
-        let neighbour = self.neighbours.get(domain)?;
-        neighbour.is_fresh(now).then_some(&neighbour.holder)
+        let remote = self.remote_dispatchers.get(domain)?;
+        remote.is_fresh(now).then_some(&remote.holder)
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
@@ -69,13 +70,19 @@
         out: &mut Vec<DispatcherOutput>,
     ) {
         let Some(domain) = self.demand.domain_of(from) else { return };
-        let outranks = |known: &Neighbour| known.term > term && known.is_fresh(now);
-        if self.neighbours.get(&domain).is_some_and(outranks) {
+        let outranks = |known: &RemoteDispatcher| known.term > term && known.is_fresh(now);
+        if self.remote_dispatchers.get(&domain).is_some_and(outranks) {
             return;
         }
-        let is_new = self.neighbours.get(&domain).is_none_or(|known| known.term != term);
-        let neighbour = Neighbour { holder: from.clone(), term, free, least, heard: now };
-        self.neighbours.insert(domain.clone(), neighbour);
+        let is_new = self.remote_dispatchers.get(&domain).is_none_or(|known| known.term != term);
+        let remote = RemoteDispatcher {
+            holder: from.clone(),
+            term,
+            free,
+            min_counter: least,
+            last_heard: now,
+        };
+        self.remote_dispatchers.insert(domain.clone(), remote);
         let behind = self.counters.merge_remote(&domain, served);
         // A new holder starts at zero. Unless it is told what its failure domain already served,
         // its organisations would be served twice for the same claim.
--- a/src/kingcupgrade/coordination/dispatcher/grants.rs
+++ b/src/kingcupgrade/coordination/dispatcher/grants.rs
@@ -6,7 +6,8 @@
 use std::collections::BTreeMap;
 
 use super::{
-    DEADLINE_SLACK, Dispatcher, DispatcherOutput, Outstanding, RECOVERY, counters, slots::Slots,
+    DEADLINE_SLACK, Dispatcher, DispatcherOutput, OutstandingGrant, RECOVERY_PERIOD, counters,
+    slots::Slots,
 };
 use crate::{
     coordination::decision::Decision,
@@ -33,11 +34,11 @@
     }
 
     pub(super) fn can_grant(&self, now: Millis) -> bool {
-        self.serving && now >= self.born + RECOVERY
+        self.serving && now >= self.started_at + RECOVERY_PERIOD
     }
 
     /// Finds the upstream with the largest part of its limit free.
-    pub(super) fn roomiest(&self, now: Millis) -> Option<&UpstreamName> {
+    pub(super) fn least_loaded_upstream(&self, now: Millis) -> Option<&UpstreamName> {
         let with_room = self.slots.iter().filter_map(|(name, slots)| {
             let free = self.free_slots(now, name, slots);
             (free > 0).then(|| (name, u64::from(free) * 1_000 / u64::from(slots.limit().max(1))))
@@ -52,7 +53,7 @@
         }
         let mut batches: BTreeMap<Instance, Vec<Grant>> = BTreeMap::new();
         while let Some(organisation) = self.counters.first().cloned() {
-            let Some(upstream) = self.roomiest(now).cloned() else { break };
+            let Some(upstream) = self.least_loaded_upstream(now).cloned() else { break };
             let Some(entry) = self.demand.longest_queue(&organisation) else { break };
             let grant = self.grant(now, organisation, upstream, &entry, out);
             batches.entry(entry).or_default().push(grant);
@@ -81,12 +82,12 @@
         *self.in_flight.entry(upstream.clone()).or_default() += 1;
         let id = GrantId(self.term, self.next_grant);
         self.next_grant += 1;
-        let outstanding = Outstanding {
+        let outstanding = OutstandingGrant {
             entry: entry.clone(),
             organisation: organisation.clone(),
             upstream: upstream.clone(),
             estimate,
-            counted: 0,
+            charged: 0,
             granted_at: now,
         };
         self.outstanding.insert(id, outstanding);
--- a/src/kingcupgrade/coordination/dispatcher/mod.rs
+++ b/src/kingcupgrade/coordination/dispatcher/mod.rs
@@ -1,13 +1,14 @@
-//! One pool's dispatcher: demand counts come up, grants of slots go down.
+//! The dispatcher of one pool: entries report their demand, and it grants them upstream slots.
 //!
-//! A single owner of the pool's slots is what makes a cold upstream's limit exact and the choice
-//! among organisations fair over all entries. The owner holds a lease (see [`super::lease`]); its
-//! state is rebuilt from the entries when the lease passes on, so nothing here is written down.
+//! Each pool has a single dispatcher, so that the limit of a cold upstream is enforced exactly and
+//! slots are shared fairly among organisations across all entries. The dispatcher holds a lease
+//! (see [`super::lease`]). A new holder rebuilds its state from what the entries report, so nothing
+//! here is persisted.
 
 pub mod counters;
 mod demand;
+mod exchange;
 mod grants;
-mod neighbours;
 mod recovery;
 pub mod slots;
 mod withheld;
@@ -20,7 +21,7 @@
 use self::{
     counters::Counters,
     demand::Demand,
-    slots::{Collapse, Listed, Slots},
+    slots::{LimitReset, Listed, Slots},
 };
 use super::decision::Decision;
 use crate::{
@@ -34,29 +35,29 @@
     util::rendezvous::static_shares,
 };
 
-/// How long a new dispatcher lets entries open their sessions before it grants.
-pub const RECOVERY: Millis = Millis(400);
-/// An entry silent for this long is taken for dead or cut off.
+/// How long a new dispatcher waits for entries to open their sessions before it grants slots.
+pub const RECOVERY_PERIOD: Millis = Millis(400);
+/// An entry that sends nothing for this long is considered dead or partitioned.
 pub const SESSION_SILENCE: Millis = Millis(3_000);
-/// A process heard so recently is not taken for gone on the word of a failed dial, which may have
-/// been under way when the process started.
-const GONE_DELAY: Millis = Millis(300);
-/// How often totals go to the other dispatchers of the service.
+/// A refused connection is ignored if the process was heard from within this time: the dial may
+/// have begun before the process started.
+const DIAL_FAILURE_GRACE: Millis = Millis(300);
+/// How often service totals are sent to the other dispatchers of the service.
 const EXCHANGE_INTERVAL: Millis = Millis(1_000);
-/// What another dispatcher said is forgotten after this time.
+/// How long the last exchange from another dispatcher stays valid.
 const EXCHANGE_TTL: Millis = Millis(3_500);
-/// Every so many exchanges all backlogged organisations are sent again, and with them those whose
-/// service changed without a backlog.
+/// Every this many exchanges, one is full: all backlogged organisations are sent again, together
+/// with those without a backlog whose service changed.
 const FULL_EXCHANGE_EVERY: u64 = 30;
-/// Organisations in one exchange at most; the rest follow in the next.
+/// Maximum number of organisations in one exchange; the rest follow in the next.
 const EXCHANGE_BATCH: usize = 200;
-/// How many average charges the counters of two pools may differ before one takes the other's
-/// demand while it has demand of its own.
+/// How far the counters of two pools may differ, in average charges, before one pool takes the
+/// other's demand while it still has its own.
 const OFFER_MARGIN: i64 = 2;
-/// Added to a deadline, for a request's way to and from its upstream.
+/// Added to a request's deadline for the network delay to and from its upstream.
 const DEADLINE_SLACK: Millis = Millis(1_000);
 
-/// A message to send, or a decision to log.
+/// An action requested by the dispatcher.
 #[derive(Clone, Debug)]
 pub enum DispatcherOutput {
     /// Send a message to an instance.
@@ -68,28 +69,28 @@
 }
 
 #[derive(Clone, Debug)]
-struct Outstanding {
+struct OutstandingGrant {
     entry: Instance,
     organisation: Organisation,
     upstream: UpstreamName,
     estimate: u32,
-    counted: u32,
+    charged: u32,
     granted_at: Millis,
 }
 
-/// What another dispatcher of the service last said.
+/// The last exchange received from another dispatcher of the service.
 #[derive(Clone, Debug)]
-struct Neighbour {
+struct RemoteDispatcher {
     holder: Instance,
     term: u64,
     free: u32,
-    least: Option<i64>,
-    heard: Millis,
+    min_counter: Option<i64>,
+    last_heard: Millis,
 }
 
-impl Neighbour {
+impl RemoteDispatcher {
     fn is_fresh(&self, now: Millis) -> bool {
-        now.since(self.heard) <= EXCHANGE_TTL
+        now.since(self.last_heard) <= EXCHANGE_TTL
     }
 }
 
@@ -99,46 +100,46 @@
     pool: Pool,
     instance: Instance,
     term: u64,
-    born: Millis,
+    started_at: Millis,
     document: Document,
-    /// Whether the failure domain may get new work.
+    /// Whether the failure domain accepts new requests.
     serving: bool,
-    /// Upstreams an operator has taken out.
+    /// Upstreams that get no new requests, because of an operator or a pending order.
     leaving: BTreeSet<UpstreamName>,
     counters: Counters,
     demand: Demand,
-    outstanding: BTreeMap<GrantId, Outstanding>,
+    outstanding: BTreeMap<GrantId, OutstandingGrant>,
     in_flight: BTreeMap<UpstreamName, u32>,
     slots: BTreeMap<UpstreamName, Slots>,
-    /// Instances of the failure domain that may use a static share while they can't be heard.
-    residents: Vec<Instance>,
-    /// Which resident each listed upstream belongs to by static share.
-    shares: BTreeMap<UpstreamName, Instance>,
-    /// Entries whose process is known to be gone.
-    gone: BTreeSet<Instance>,
-    /// Slots kept back for residents that can't be heard.
+    /// Entries of the failure domain, which may use a static share while they are unreachable.
+    local_entries: Vec<Instance>,
+    /// The entry that owns the static share of each listed upstream.
+    static_owners: BTreeMap<UpstreamName, Instance>,
+    /// Entries whose process is known to have terminated.
+    terminated: BTreeSet<Instance>,
+    /// Slots reserved for unreachable entries that may be using their static share.
     reserved: BTreeMap<UpstreamName, u32>,
-    neighbours: BTreeMap<FailureDomain, Neighbour>,
+    remote_dispatchers: BTreeMap<FailureDomain, RemoteDispatcher>,
     next_grant: u64,
     next_exchange: Millis,
-    /// When slots kept back may be told of again.
-    next_withheld: Millis,
-    exchanges: u64,
+    /// Earliest time at which withheld slots are logged again.
+    next_withheld_report: Millis,
+    exchange_count: u64,
     average_charge: i64,
 }
 
 impl Dispatcher {
-    /// Makes the dispatcher of `pool` in `term`.
+    /// Creates the dispatcher of `pool` for lease term `term`.
     ///
-    /// `residents` are the entries of the failure domain; upstream slots that one of them may be
-    /// using unheard are kept back.
+    /// `local_entries` are the entries of the failure domain. Slots that an unreachable one of them may
+    /// be using are reserved.
     pub fn new(
         now: Millis,
         pool: Pool,
         instance: Instance,
         term: u64,
         document: Document,
-        residents: Vec<Instance>,
+        local_entries: Vec<Instance>,
     ) -> Dispatcher {
         let mut counters = Counters::default();
         for (organisation, member) in &document.organisations {
@@ -148,7 +149,7 @@
             pool,
             instance,
             term,
-            born: now,
+            started_at: now,
             document,
             serving: true,
             leaving: BTreeSet::new(),
@@ -157,40 +158,40 @@
             outstanding: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             slots: BTreeMap::new(),
-            residents,
-            shares: BTreeMap::new(),
-            gone: BTreeSet::new(),
+            local_entries,
+            static_owners: BTreeMap::new(),
+            terminated: BTreeSet::new(),
             reserved: BTreeMap::new(),
-            neighbours: BTreeMap::new(),
+            remote_dispatchers: BTreeMap::new(),
             next_grant: 1,
             next_exchange: now,
-            next_withheld: now,
-            exchanges: 0,
+            next_withheld_report: now,
+            exchange_count: 0,
             average_charge: 0,
         }
     }
 
-    /// Returns the term of the lease under which it grants.
+    /// Returns the lease term under which this dispatcher grants slots.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Returns the service counters.
+    /// Returns the service counters of the organisations.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Returns grants in use and limit of each upstream.
+    /// Returns the number of grants in use and the current limit of each upstream.
     pub fn loads(&self) -> impl Iterator<Item = (&UpstreamName, u32, u32)> {
         self.slots.iter().map(|(name, slots)| (name, self.in_flight(name), slots.limit()))
     }
 
-    /// Returns how many requests each upstream may run by its document.
+    /// Returns the slot limits set by the document.
     pub fn slot_limits(&self) -> SlotLimits {
         self.document.slots
     }
 
-    /// Takes over a newer document.
+    /// Applies a newer document.
     pub fn set_document(&mut self, document: &Document) {
         for (organisation, member) in &document.organisations {
             self.counters.set_share(organisation, member.share);
@@ -201,24 +202,26 @@
         self.document = document.clone();
     }
 
-    /// Sets whether the failure domain may get new work, and which upstreams may not.
+    /// Sets whether the failure domain accepts new requests, and which upstreams get none.
     pub fn set_standing(&mut self, serving: bool, leaving: &BTreeSet<UpstreamName>) {
         self.serving = serving;
         self.leaving.clone_from(leaving);
     }
 
-    /// Returns where a listed upstream is, and whether it runs nothing: no grant is in use, and none
-    /// may be that is not known. Whether an entry that can't be heard uses its static share there
-    /// only the upstream's own reports can tell.
+    /// Returns the address of a listed upstream and whether it is idle: no grant is in use and no
+    /// request can be running without one.
+    ///
+    /// Only the upstream's own load reports can show whether an unreachable entry uses its static
+    /// share there.
     pub fn upstream(&self, now: Millis, name: &UpstreamName) -> Option<(SocketAddr, bool)> {
         let slots = self.slots.get(name)?;
-        let is_shared = self.reserved.get(name).is_some_and(|count| *count > 0);
-        let is_unused = !is_shared || slots.is_reported_idle(now);
-        let is_idle = self.in_flight(name) == 0 && slots.has_only_known(now) && is_unused;
+        let is_reserved = self.reserved.get(name).is_some_and(|count| *count > 0);
+        let is_share_unused = !is_reserved || slots.is_reported_idle(now);
+        let is_idle = self.in_flight(name) == 0 && slots.has_only_known(now) && is_share_unused;
         Some((slots.address, is_idle))
     }
 
-    /// Takes an upstream for a cold one: it was changed by order.
+    /// Treats an upstream as cold after an order changed its setup.
     pub fn on_changed(
         &mut self,
         now: Millis,
@@ -227,22 +230,22 @@
     ) {
         if let Some(slots) = self.slots.get_mut(name) {
             slots.turn_cold(now);
-            self.report_collapse(name, Some(Collapse::Changed), out);
+            self.log_limit_reset(name, Some(LimitReset::Changed), out);
         }
     }
 
-    /// Takes in the platform's list of the pool's upstreams.
+    /// Applies the platform's list of the pool's upstreams.
     pub fn on_listing(&mut self, now: Millis, listing: &[Listed], out: &mut Vec<DispatcherOutput>) {
         let listed: BTreeSet<&UpstreamName> = listing.iter().map(|l| &l.upstream).collect();
         self.slots.retain(|name, _| listed.contains(name));
-        if !self.shares.keys().eq(listed.iter().copied()) {
+        if !self.static_owners.keys().eq(listed.iter().copied()) {
             let names = listed.iter().map(|name| (*name).clone());
-            self.shares = static_shares(names, &self.residents);
+            self.static_owners = static_shares(names, &self.local_entries);
         }
         for item in listing {
             self.on_listed(now, item, out);
         }
-        self.reserve_for_silent_residents(now);
+        self.reserve_static_shares(now);
         self.dispatch(now, out);
     }
 
@@ -254,29 +257,35 @@
             .entry(item.upstream.clone())
             .or_insert_with(|| Slots::new(now, item, limits));
         let outstanding = &self.outstanding;
-        let known = |made_at: Millis| {
-            let shown = |grant: &&Outstanding| {
+        let granted_before = |made_at: Millis| {
+            let is_counted = |grant: &&OutstandingGrant| {
                 grant.upstream == item.upstream && grant.granted_at <= made_at
             };
-            u32::try_from(outstanding.values().filter(shown).count()).unwrap_or(u32::MAX)
+            u32::try_from(outstanding.values().filter(is_counted).count()).unwrap_or(u32::MAX)
         };
-        let collapse = slots.on_listed(now, self.born + RECOVERY, longest_run, item, known);
-        self.report_collapse(&item.upstream, collapse, out);
+        let reset = slots.on_listed(
+            now,
+            self.started_at + RECOVERY_PERIOD,
+            longest_run,
+            item,
+            granted_before,
+        );
+        self.log_limit_reset(&item.upstream, reset, out);
     }
 
-    fn report_collapse(
+    fn log_limit_reset(
         &self,
         upstream: &UpstreamName,
-        collapse: Option<Collapse>,
+        reset: Option<LimitReset>,
         out: &mut Vec<DispatcherOutput>,
     ) {
-        let reason = match collapse {
+        let reason = match reset {
             None => return,
-            Some(Collapse::Refused) => "refused a request",
-            Some(Collapse::Failed) => "failed a request",
-            Some(Collapse::Slow) => "first byte far later than usual",
-            Some(Collapse::Restarted) => "new incarnation",
-            Some(Collapse::Changed) => "changed by order",
+            Some(LimitReset::Refused) => "refused a request",
+            Some(LimitReset::Failed) => "failed a request",
+            Some(LimitReset::Slow) => "first byte far later than usual",
+            Some(LimitReset::Restarted) => "new incarnation",
+            Some(LimitReset::Changed) => "changed by order",
         };
         out.push(DispatcherOutput::Decided(Decision::Collapse {
             service: self.pool.0.clone(),
@@ -300,8 +309,8 @@
                 self.on_open(now, from, *session, knows_term, waiting, held);
             }
             DispatchBody::Report { session, seq, received, waiting, finished, progress } => {
-                let in_step = self.demand.on_report(now, from, *session, *seq, *received);
-                if !in_step {
+                let in_sequence = self.demand.on_report(now, from, *session, *seq, *received);
+                if !in_sequence {
                     self.send(from, DispatchBody::Resync, out);
                     return;
                 }
@@ -338,42 +347,42 @@
 
     fn refresh_waiting(&mut self, now: Millis, organisation: &Organisation) {
         let total = self.demand.total(organisation);
-        let elsewhere = self.fresh_neighbours(now).filter_map(|(_, n)| n.least).min();
-        self.counters.set_waiting(organisation, total, elsewhere);
+        let remote_min = self.fresh_remotes(now).filter_map(|(_, n)| n.min_counter).min();
+        self.counters.set_waiting(organisation, total, remote_min);
     }
 
     fn on_finished(&mut self, now: Millis, done: &Finished, out: &mut Vec<DispatcherOutput>) {
         self.on_progress(done.id, done.cost);
-        let Some(grant) = self.take_outstanding(done.id) else { return };
+        let Some(grant) = self.remove_outstanding(done.id) else { return };
         let Some(slots) = self.slots.get_mut(&grant.upstream) else { return };
-        let collapse = match done.ending {
+        let reset = match done.ending {
             Ending::Completed => slots.on_completed(now, grant.granted_at, done.first_byte_ms),
             Ending::Unused => None,
             Ending::Refused => {
                 slots.on_trouble(now);
-                Some(Collapse::Refused)
+                Some(LimitReset::Refused)
             }
             Ending::Failed => {
                 slots.on_trouble(now);
-                Some(Collapse::Failed)
+                Some(LimitReset::Failed)
             }
         };
-        self.report_collapse(&grant.upstream, collapse, out);
+        self.log_limit_reset(&grant.upstream, reset, out);
     }
 
     fn on_progress(&mut self, id: GrantId, cost: u32) {
         let Some(grant) = self.outstanding.get_mut(&id) else { return };
-        if cost > grant.counted {
-            let counted = std::mem::replace(&mut grant.counted, cost);
-            self.counters.add_cost(&grant.organisation, grant.estimate, counted, cost);
+        if cost > grant.charged {
+            let charged = std::mem::replace(&mut grant.charged, cost);
+            self.counters.add_cost(&grant.organisation, grant.estimate, charged, cost);
         }
     }
 
-    /// Frees the slot of a grant and settles its estimate.
-    fn take_outstanding(&mut self, id: GrantId) -> Option<Outstanding> {
+    /// Removes a grant, which frees its slot, and refunds the unused part of its estimate.
+    fn remove_outstanding(&mut self, id: GrantId) -> Option<OutstandingGrant> {
         let grant = self.outstanding.remove(&id)?;
-        let learn = grant.counted > 0;
-        self.counters.end_grant(&grant.organisation, grant.estimate, grant.counted, learn);
+        let learn = grant.charged > 0;
+        self.counters.end_grant(&grant.organisation, grant.estimate, grant.charged, learn);
         if let Some(count) = self.in_flight.get_mut(&grant.upstream) {
             *count -= 1;
             if *count == 0 {
@@ -383,12 +392,12 @@
         Some(grant)
     }
 
-    /// Handles the passing of time.
+    /// Runs the periodic work.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<DispatcherOutput>) {
         self.drop_silent_entries(now);
-        self.reserve_for_silent_residents(now);
+        self.reserve_static_shares(now);
         self.dispatch(now, out);
-        self.tell_withheld(now, out);
+        self.report_withheld(now, out);
         self.acknowledge(now, out);
         if now >= self.next_exchange {
             self.next_exchange = now + EXCHANGE_INTERVAL;
@@ -412,16 +421,16 @@
         }
     }
 
-    /// Tells the dispatcher which failure domain each instance is in.
+    /// Sets which failure domain each instance is in.
     pub fn set_domains(&mut self, domains: impl IntoIterator<Item = (Instance, FailureDomain)>) {
         self.demand.set_domains(domains);
     }
 
-    /// Checks what must hold after every input.
+    /// Checks the invariants that hold after every input.
     ///
     /// # Errors
     ///
-    /// Returns a sentence that names the first thing that does not hold.
+    /// Returns a description of the first violated invariant.
     pub fn check_invariants(&self) -> Result<(), String> {
         let mut counted: BTreeMap<&UpstreamName, u32> = BTreeMap::new();
         for grant in self.outstanding.values() {
--- a/src/kingcupgrade/coordination/dispatcher/recovery.rs
+++ b/src/kingcupgrade/coordination/dispatcher/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{Dispatcher, GONE_DELAY, Outstanding, SESSION_SILENCE};
+use super::{DIAL_FAILURE_GRACE, Dispatcher, OutstandingGrant, SESSION_SILENCE};
 use crate::{
     core::{Instance, Millis},
     protocol::dispatch::{GrantId, Held, Session, SessionTag, Waiting},
@@ -21,11 +21,11 @@
         if !self.demand.open(now, entry, session, knows_term) {
             return;
         }
-        self.gone.remove(entry);
+        self.terminated.remove(entry);
         let kept: BTreeSet<GrantId> = held.iter().map(|held| held.id).collect();
         for id in self.grants_of(entry) {
             if !kept.contains(&id) {
-                self.take_outstanding(id);
+                self.remove_outstanding(id);
             }
         }
         for (name, slots) in &mut self.slots {
@@ -53,13 +53,13 @@
         }
         let estimate = self.counters.adopt_grant(&held.organisation);
         *self.in_flight.entry(held.upstream.clone()).or_default() += 1;
-        let grant = Outstanding {
+        let grant = OutstandingGrant {
             entry: entry.clone(),
             organisation: held.organisation.clone(),
             upstream: held.upstream.clone(),
             estimate,
             // What it cost before the take-over is already in the old counters.
-            counted: held.cost,
+            charged: held.cost,
             granted_at: Millis::ZERO,
         };
         self.outstanding.insert(held.id, grant);
@@ -75,11 +75,11 @@
     }
 
     /// Ends an entry's session and frees the slots of all its grants; returns the grants.
-    fn release(&mut self, now: Millis, entry: &Instance) -> Vec<Outstanding> {
+    fn release(&mut self, now: Millis, entry: &Instance) -> Vec<OutstandingGrant> {
         self.withdraw_demand(now, entry);
         self.demand.forget(entry);
         let ids = self.grants_of(entry);
-        ids.into_iter().filter_map(|id| self.take_outstanding(id)).collect()
+        ids.into_iter().filter_map(|id| self.remove_outstanding(id)).collect()
     }
 
     /// Stops counting on entries that can't be heard.
@@ -103,13 +103,13 @@
     /// upstreams: its slots are free at once, and it uses no static share. Silence proves nothing.
     pub fn on_dial_failed(&mut self, now: Millis, entry: &Instance, refused: bool) {
         if !refused {
-            self.gone.remove(entry);
+            self.terminated.remove(entry);
             return;
         }
-        if self.demand.was_heard(now, entry, GONE_DELAY) {
+        if self.demand.was_heard(now, entry, DIAL_FAILURE_GRACE) {
             return;
         }
-        self.gone.insert(entry.clone());
+        self.terminated.insert(entry.clone());
         self.release(now, entry);
         for slots in self.slots.values_mut() {
             slots.on_entry_told(entry, 0);
@@ -122,23 +122,23 @@
     /// A resident cut off from the majority may use that part at any time. If this dispatcher gave
     /// those slots too, a cold upstream would fall over under both. One that is frozen looks the
     /// same and uses none, so no more than its part may wait for it.
-    pub(super) fn reserve_for_silent_residents(&mut self, now: Millis) {
+    pub(super) fn reserve_static_shares(&mut self, now: Millis) {
         self.reserved.clear();
         let silent = |i: &Instance| {
-            let is_known = *i == self.instance || self.gone.contains(i);
+            let is_known = *i == self.instance || self.terminated.contains(i);
             !is_known && !self.demand.was_heard(now, i, SESSION_SILENCE)
         };
-        if !self.residents.iter().any(silent) {
+        if !self.local_entries.iter().any(silent) {
             return;
         }
-        let kept = self.shares.iter().filter(|(_, owner)| silent(owner));
+        let kept = self.static_owners.iter().filter(|(_, owner)| silent(owner));
         let part = self.document.slots.static_part();
         self.reserved = kept.map(|(name, _)| (name.clone(), part)).collect();
     }
 
     /// Notes that a resident knows of this dispatcher and so uses no static share.
     pub fn on_acknowledged(&mut self, now: Millis, resident: &Instance) {
-        self.gone.remove(resident);
+        self.terminated.remove(resident);
         self.demand.note_heard(now, resident);
     }
 }
--- a/src/kingcupgrade/coordination/dispatcher/slots.rs
+++ b/src/kingcupgrade/coordination/dispatcher/slots.rs
@@ -56,7 +56,7 @@
 
 /// Why an upstream's limit fell back to the cold one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Collapse {
+pub enum LimitReset {
     /// It refused a request as more than it can bear.
     Refused,
     /// It failed to answer.
@@ -80,8 +80,8 @@
     limit: u32,
     incarnation: u64,
     /// Evidence older than this is not trusted.
-    collapsed_at: Millis,
-    /// Whether a report newer than `collapsed_at` says warm.
+    reset_at: Millis,
+    /// Whether a report newer than `reset_at` says warm.
     confirmed_warm: bool,
     learned_first_byte: Option<f32>,
     paused_until: Millis,
@@ -115,7 +115,7 @@
             limits,
             limit: limits.cold,
             incarnation: listed.incarnation,
-            collapsed_at: now,
+            reset_at: now,
             confirmed_warm: false,
             learned_first_byte: None,
             paused_until: now,
@@ -174,7 +174,7 @@
     /// Takes the upstream for a cold one from now on.
     pub fn turn_cold(&mut self, now: Millis) {
         self.learned_first_byte = None;
-        self.collapse(now);
+        self.reset_to_cold(now);
     }
 
     /// Takes over changed limits from the document.
@@ -198,24 +198,24 @@
         deadline: Millis,
         listed: &Listed,
         known: impl Fn(Millis) -> u32,
-    ) -> Option<Collapse> {
+    ) -> Option<LimitReset> {
         self.address = listed.address;
         self.leaving = listed.leaving;
         let restarted = listed.incarnation != self.incarnation;
         if restarted {
             self.incarnation = listed.incarnation;
-            self.collapse(now);
+            self.reset_to_cold(now);
         }
         if let Some(report) = listed.report {
             self.on_report(now, born, deadline, report);
         }
         self.match_reports(now, known);
-        restarted.then_some(Collapse::Restarted)
+        restarted.then_some(LimitReset::Restarted)
     }
 
     fn on_report(&mut self, now: Millis, born: Millis, deadline: Millis, report: LoadReport) {
         let made_at = now.since(Millis(report.age_ms));
-        if made_at >= self.collapsed_at {
+        if made_at >= self.reset_at {
             self.confirmed_warm = report.warm;
             if !report.warm {
                 self.limit = self.limits.cold;
@@ -302,14 +302,14 @@
         now: Millis,
         granted_at: Millis,
         first_byte_ms: Option<u32>,
-    ) -> Option<Collapse> {
-        if granted_at < self.collapsed_at {
+    ) -> Option<LimitReset> {
+        if granted_at < self.reset_at {
             return None;
         }
         self.failures = 0;
         if first_byte_ms.is_some_and(|ms| self.is_slow(ms)) {
-            self.collapse(now);
-            return Some(Collapse::Slow);
+            self.reset_to_cold(now);
+            return Some(LimitReset::Slow);
         }
         if self.confirmed_warm {
             self.limit = (self.limit + 1).min(self.limits.warm);
@@ -337,12 +337,12 @@
             self.failures += 1;
             self.paused_until = now + pause;
         }
-        self.collapse(now);
+        self.reset_to_cold(now);
     }
 
-    fn collapse(&mut self, now: Millis) {
+    fn reset_to_cold(&mut self, now: Millis) {
         self.limit = self.limits.cold;
-        self.collapsed_at = now;
+        self.reset_at = now;
         self.confirmed_warm = false;
     }
 }
--- a/src/kingcupgrade/coordination/dispatcher/withheld.rs
+++ b/src/kingcupgrade/coordination/dispatcher/withheld.rs
@@ -15,8 +15,8 @@
 
 impl Dispatcher {
     /// Tells which slots are withheld while requests wait, if there are such.
-    pub(super) fn tell_withheld(&mut self, now: Millis, out: &mut Vec<DispatcherOutput>) {
-        if self.counters.backlogged() == 0 || now < self.next_withheld {
+    pub(super) fn report_withheld(&mut self, now: Millis, out: &mut Vec<DispatcherOutput>) {
+        if self.counters.backlogged() == 0 || now < self.next_withheld_report {
             return;
         }
         let slots = self.slots.iter().map(|(name, slots)| WithheldSlots {
@@ -32,7 +32,7 @@
         if withheld.is_empty() {
             return;
         }
-        self.next_withheld = now + INTERVAL;
+        self.next_withheld_report = now + INTERVAL;
         out.push(DispatcherOutput::Decided(Decision::Withheld {
             service: self.pool.0.clone(),
             term: self.term,
