--- a/src/kingcupgrade/coordination/dispatcher/demand.rs
+++ b/src/kingcupgrade/coordination/dispatcher/demand.rs
@@ -1,4 +1,4 @@
-//! What waits at which entry, as far as the entries' sessions tell.
+//! Demand of the entries, as reported in their sessions.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,48 +11,49 @@
 struct EntrySession {
     session: Session,
     seq: u64,
+    /// Whether the entry opened the session with this dispatcher's current term.
     knows_term: bool,
-    heard: Millis,
+    last_heard: Millis,
     acked_at: Millis,
-    /// Grants sent in the session.
+    /// Number of grants sent in the session.
     granted: u64,
-    /// Grants the entry had not received when it last reported.
+    /// Organisations of the grants that the entry had not received at its last report, oldest first.
     unreceived: VecDeque<Organisation>,
-    /// Counts as reported, less the grants received since.
+    /// Waiting requests as last reported, less the grants received since.
     reported: BTreeMap<Organisation, u32>,
 }
 
 impl EntrySession {
-    /// Returns the requests that wait for a grant that is not under way yet.
+    /// Returns how many of an organisation's requests have no grant in transit to the entry.
     ///
-    /// A report may have crossed a grant on its way. Taking the reported count as it is would
+    /// A report and a grant may cross on the network. Using the reported count unchanged would
     /// grant the same request twice and leave a slot idle for a round trip.
     fn waiting(&self, organisation: &Organisation) -> u32 {
         let reported = self.reported.get(organisation).copied().unwrap_or(0);
-        let under_way = self.unreceived.iter().filter(|o| *o == organisation).count();
-        reported.saturating_sub(u32::try_from(under_way).unwrap_or(u32::MAX))
+        let in_transit = self.unreceived.iter().filter(|o| *o == organisation).count();
+        reported.saturating_sub(u32::try_from(in_transit).unwrap_or(u32::MAX))
     }
 }
 
-/// How often a session with requests waiting is acknowledged at least, and told of offers.
+/// Interval at which a session with waiting requests is acknowledged and sent offers.
 const ACK_INTERVAL: Millis = Millis(500);
-/// How often any other session is.
-const QUIET_ACK_INTERVAL: Millis = Millis(1_000);
+/// Interval of acknowledgements to any other session.
+const IDLE_ACK_INTERVAL: Millis = Millis(1_000);
 
 /// The demand of all entries for one pool.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     sessions: BTreeMap<Instance, EntrySession>,
-    /// Entries by organisation, those with a reported count above zero.
+    /// Entries with a non-zero reported count, by organisation.
     queues: BTreeMap<Organisation, BTreeSet<Instance>>,
-    heard: BTreeMap<Instance, Millis>,
+    last_heard: BTreeMap<Instance, Millis>,
     domains: BTreeMap<Instance, FailureDomain>,
 }
 
 impl Demand {
-    /// Opens a session; returns false if it is older than the current one.
+    /// Opens a session; returns false unless it is newer than the current one.
     ///
-    /// `knows_term` tells whether the entry addressed this dispatcher's very term.
+    /// `knows_term` states whether the entry addressed this dispatcher's current term.
     pub fn open(
         &mut self,
         now: Millis,
@@ -69,7 +70,7 @@
             session,
             seq: 0,
             knows_term,
-            heard: now,
+            last_heard: now,
             acked_at: Millis::ZERO,
             granted: 0,
             unreceived: VecDeque::new(),
@@ -82,7 +83,7 @@
         true
     }
 
-    /// Notes a report; returns false if it does not follow the last one of the current session.
+    /// Records a report; returns false if it is not the next one of the current session.
     pub fn on_report(
         &mut self,
         now: Millis,
@@ -96,7 +97,7 @@
             return false;
         }
         state.seq = seq;
-        state.heard = now;
+        state.last_heard = now;
         let knows_term = state.knows_term;
         let unreceived = state.granted.saturating_sub(received);
         let mut received = Vec::new();
@@ -104,7 +105,7 @@
             received.extend(state.unreceived.pop_front());
         }
         for organisation in received {
-            self.settle_received(entry, &organisation);
+            self.subtract_received(entry, &organisation);
         }
         if knows_term {
             self.note_heard(now, entry);
@@ -112,18 +113,18 @@
         true
     }
 
-    /// Takes a grant that its entry has received out of the reported count.
+    /// Subtracts a received grant from the reported count.
     ///
-    /// The entry reports a count again only if it is another one than this makes it. Without it
-    /// the request would count as waiting once more when its grant is under way no longer.
-    fn settle_received(&mut self, entry: &Instance, organisation: &Organisation) {
+    /// The entry does the same and reports a count only if it differs from the result. Without the
+    /// subtraction, the request would count as waiting again once its grant is no longer in transit.
+    fn subtract_received(&mut self, entry: &Instance, organisation: &Organisation) {
         let reported = self.sessions.get(entry).and_then(|state| state.reported.get(organisation));
         if let Some(count) = reported.copied() {
             self.set(entry, organisation, count.saturating_sub(1));
         }
     }
 
-    /// Sets a reported count.
+    /// Sets the number of requests of an organisation that wait at an entry.
     pub fn set(&mut self, entry: &Instance, organisation: &Organisation, count: u32) {
         let Some(state) = self.sessions.get_mut(entry) else { return };
         if count > 0 {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Forgets all counts of an entry and returns the organisations concerned.
+    /// Removes all counts of an entry and returns the organisations affected.
     pub fn clear(&mut self, entry: &Instance) -> Vec<Organisation> {
         let Some(state) = self.sessions.get_mut(entry) else { return Vec::new() };
         let reported = std::mem::take(&mut state.reported);
@@ -155,28 +156,28 @@
         organisations
     }
 
-    /// Forgets the session of an entry.
+    /// Removes the session of an entry.
     pub fn forget(&mut self, entry: &Instance) {
         self.clear(entry);
         self.sessions.remove(entry);
     }
 
-    /// Returns the current session of an entry.
+    /// Returns the tag of an entry's current session.
     pub fn session(&self, entry: &Instance) -> Option<SessionTag> {
         self.sessions.get(entry).map(|state| state.session.tag())
     }
 
-    /// Returns the last report received in an entry's session.
+    /// Returns the sequence number of the last report received in an entry's session.
     pub fn last_report(&self, entry: &Instance) -> u64 {
         self.sessions.get(entry).map_or(0, |state| state.seq)
     }
 
-    /// Tells whether `session` is the entry's current one.
+    /// Returns whether `session` is the entry's current session.
     pub fn is_current(&self, entry: &Instance, session: SessionTag) -> bool {
         self.session(entry) == Some(session)
     }
 
-    /// Returns how many of an organisation's requests wait at all entries.
+    /// Returns how many of an organisation's requests wait, over all entries.
     pub fn total(&self, organisation: &Organisation) -> u32 {
         let Some(entries) = self.queues.get(organisation) else { return 0 };
         entries.iter().map(|entry| self.sessions[entry].waiting(organisation)).sum()
@@ -190,7 +191,7 @@
         counts.max().filter(|(count, _)| *count > 0).map(|(_, entry)| entry.clone())
     }
 
-    /// Counts a grant as under way to an entry.
+    /// Records a grant as in transit to an entry.
     pub fn on_granted(&mut self, entry: &Instance, organisation: &Organisation) {
         if let Some(state) = self.sessions.get_mut(entry) {
             state.granted += 1;
@@ -198,18 +199,17 @@
         }
     }
 
-    /// Lists entries whose session has been silent for longer than `silence`.
-    pub fn silent(&self, now: Millis, silence: Millis) -> Vec<Instance> {
-        let is_silent = |state: &EntrySession| now.since(state.heard) > silence;
+    /// Lists the entries that have sent nothing in their session for longer than `timeout`.
+    pub fn silent(&self, now: Millis, timeout: Millis) -> Vec<Instance> {
+        let is_silent = |state: &EntrySession| now.since(state.last_heard) > timeout;
         self.sessions.iter().filter(|(_, s)| is_silent(s)).map(|(entry, _)| entry.clone()).collect()
     }
 
-    /// Lists the sessions due for an acknowledgement, with the grants sent in each.
+    /// Lists the sessions due for an acknowledgement, with the number of grants sent in each.
     pub fn due_acks(&mut self, now: Millis) -> Vec<(Instance, SessionTag, u64)> {
         let mut due = Vec::new();
         for (entry, state) in &mut self.sessions {
-            let interval =
-                if state.reported.is_empty() { QUIET_ACK_INTERVAL } else { ACK_INTERVAL };
+            let interval = if state.reported.is_empty() { IDLE_ACK_INTERVAL } else { ACK_INTERVAL };
             if now.since(state.acked_at) >= interval {
                 state.acked_at = now;
                 due.push((entry.clone(), state.session.tag(), state.granted));
@@ -218,15 +218,15 @@
         due
     }
 
-    /// Notes that an instance was heard and knows of this dispatcher.
+    /// Records a message from an instance that knows of this dispatcher.
     pub fn note_heard(&mut self, now: Millis, instance: &Instance) {
-        self.heard.insert(instance.clone(), now);
+        self.last_heard.insert(instance.clone(), now);
     }
 
-    /// Tells whether an instance that knows of this dispatcher was heard within `span`.
+    /// Returns whether an instance that knows of this dispatcher sent a message within `span`.
     pub fn was_heard(&self, now: Millis, instance: &Instance, span: Millis) -> bool {
-        let heard = self.heard.get(instance);
-        heard.is_some_and(|heard| now.since(*heard) <= span)
+        let last_heard = self.last_heard.get(instance);
+        last_heard.is_some_and(|at| now.since(*at) <= span)
     }
 
     /// Sets which failure domain each instance is in.
--- a/src/kingcupgrade/coordination/dispatcher/exchange.rs
+++ b/src/kingcupgrade/coordination/dispatcher/exchange.rs
@@ -1,4 +1,4 @@
-//! The dispatchers of the same service in other failure domains.
+//! Exchange of service totals and idle slots with the dispatchers of other failure domains.
 
 use super::{
     Dispatcher, DispatcherOutput, EXCHANGE_BATCH, FULL_EXCHANGE_EVERY, OFFER_MARGIN,
@@ -17,21 +17,24 @@
         self.remote_dispatchers.iter().filter(move |(_, remote)| remote.is_fresh(now))
     }
 
-    /// Lists the dispatchers elsewhere that should see this pool's demand: those with idle slots,
-    /// and those that serve organisations much better off than the ones waiting here.
+    /// Lists the remote dispatchers that should receive this pool's demand.
+    ///
+    /// These are the ones with idle slots, and the ones whose backlogged organisations have all had
+    /// much more service than the least served organisation here. If this pool can't serve at all,
+    /// they are all listed.
     pub(super) fn offers(&self, now: Millis) -> Vec<Offer> {
-        let Some(own_least) = self.counters.least() else { return Vec::new() };
-        let unable = !self.serving || self.slots.is_empty();
+        let Some(own_min) = self.counters.least() else { return Vec::new() };
+        let cannot_serve = !self.serving || self.slots.is_empty();
         let margin = OFFER_MARGIN * self.average_charge;
         let takes = |remote: &RemoteDispatcher| {
-            let better_off = remote.min_counter.is_some_and(|least| least > own_least + margin);
-            unable || remote.free > 0 || better_off
+            let better_off = remote.min_counter.is_some_and(|min| min > own_min + margin);
+            cannot_serve || remote.free > 0 || better_off
         };
         let fresh = self.fresh_remotes(now).filter(|(_, remote)| takes(remote));
         fresh.map(|(domain, remote)| Offer(domain.clone(), remote.holder.clone())).collect()
     }
 
-    /// Returns the slots that nothing waits for.
+    /// Returns the number of free slots, or zero while any request waits for one.
     pub fn idle_slots(&self, now: Millis) -> u32 {
         if !self.can_grant(now) || self.counters.backlogged() > 0 {
             return 0;
@@ -46,13 +49,13 @@
             self.counters.mark_backlogged_changed();
         }
         let served = self.counters.take_changed(EXCHANGE_BATCH, is_full);
-        // A pool that can't serve says nothing of its level: nobody's demand is better off here.
+        // A pool that can't serve reports no counter, so that no remote pool sends its demand here.
         let least = if self.serving { self.counters.least() } else { None };
         let body = DispatchBody::Exchange { free: self.idle_slots(now), least, served };
         out.push(DispatcherOutput::SendToNeighbours(self.message(body)));
     }
 
-    /// Returns the holder of another pool of the service, if it was heard of late.
+    /// Returns the lease holder of the service's pool in `domain`, if it was heard recently.
     pub fn known_holder(&self, now: Millis, domain: &FailureDomain) -> Option<&Instance> {
         let remote = self.remote_dispatchers.get(domain)?;
         remote.is_fresh(now).then_some(&remote.holder)
@@ -84,8 +87,8 @@
         };
         self.remote_dispatchers.insert(domain.clone(), remote);
         let behind = self.counters.merge_remote(&domain, served);
-        // A new holder starts at zero. Unless it is told what its failure domain already served,
-        // its organisations would be served twice for the same claim.
+        // A new holder's counters start at zero. Unless it learns what its failure domain has
+        // already served, its organisations would receive the same service twice.
         if is_new || behind {
             let served = self.counters.remote(&domain);
             self.send(from, DispatchBody::Recall { served }, out);
