--- a/src/kingcupgrade/coordination/dispatcher/mod.rs
+++ b/src/kingcupgrade/coordination/dispatcher/mod.rs
@@ -217,7 +217,7 @@
         let slots = self.slots.get(name)?;
         let is_reserved = self.reserved.get(name).is_some_and(|count| *count > 0);
         let is_share_unused = !is_reserved || slots.is_reported_idle(now);
-        let is_idle = self.in_flight(name) == 0 && slots.has_only_known(now) && is_share_unused;
+        let is_idle = self.in_flight(name) == 0 && slots.has_no_unaccounted(now) && is_share_unused;
         Some((slots.address, is_idle))
     }
 
@@ -229,7 +229,7 @@
         out: &mut Vec<DispatcherOutput>,
     ) {
         if let Some(slots) = self.slots.get_mut(name) {
-            slots.turn_cold(now);
+            slots.on_reconfigured(now);
             self.log_limit_reset(name, Some(LimitReset::Changed), out);
         }
     }
--- a/src/kingcupgrade/coordination/dispatcher/recovery.rs
+++ b/src/kingcupgrade/coordination/dispatcher/recovery.rs
@@ -32,7 +32,7 @@
             let new = held
                 .iter()
                 .filter(|held| held.upstream == *name && !self.outstanding.contains_key(&held.id));
-            slots.on_entry_told(entry, new.count());
+            slots.on_entry_reported(entry, new.count());
         }
         for held in held {
             self.adopt(entry, held);
@@ -112,7 +112,7 @@
         self.terminated.insert(entry.clone());
         self.release(now, entry);
         for slots in self.slots.values_mut() {
-            slots.on_entry_told(entry, 0);
+            slots.on_entry_reported(entry, 0);
         }
     }
 
--- a/src/kingcupgrade/coordination/dispatcher/slots.rs
+++ b/src/kingcupgrade/coordination/dispatcher/slots.rs
@@ -1,113 +1,113 @@
-//! How much one upstream may be given, from evidence that arrives late.
+//! The concurrency limit of one upstream, derived from delayed load reports and request outcomes.
 //!
-//! A cold upstream falls over under a full load, and its load report lags, so a report that says
-//! "warm" may describe a time before it turned cold again. Newer evidence (a refusal, a failure, a
-//! slow first byte, another incarnation) therefore ends the trust in every report made before it.
+//! A cold upstream fails under full load. Its load reports are delayed, so a report that says "warm"
+//! may have been made before the upstream turned cold again. Newer evidence (a refusal, a failure, a
+//! slow first byte, a new incarnation) therefore invalidates every report made before it.
 
 use std::{collections::VecDeque, net::SocketAddr};
 
 use crate::core::{Instance, Millis, UpstreamName, document::SlotLimits};
 
-/// A first byte slower than this many times the learned time is evidence of a cold upstream.
+/// A first byte that takes more than this multiple of the average time indicates a cold upstream.
 const SLOW_FACTOR: f32 = 6.0;
-/// A first byte faster than this is never such evidence.
-const SLOW_FLOOR_MS: f32 = 250.0;
-/// Weight of the newest first-byte time in the learned one.
-const LEARN_WEIGHT: f32 = 0.1;
-/// A grant given so long before a report was made is taken to run by then.
-const START_SLACK: Millis = Millis(300);
-/// The end of a request is known here so long after it at the latest.
-const END_SLACK: Millis = Millis(1_000);
-/// How long an upstream is left alone after it refused or failed a request.
+/// A first byte within this time never indicates a cold upstream.
+const MIN_SLOW_MS: f32 = 250.0;
+/// Weight of the newest first-byte time in the moving average.
+const FIRST_BYTE_WEIGHT: f32 = 0.1;
+/// A request is assumed to be running at the upstream this long after its grant was issued.
+const MAX_START_DELAY: Millis = Millis(300);
+/// The longest time until the dispatcher learns that a request has ended.
+const MAX_END_DELAY: Millis = Millis(1_000);
+/// How long an upstream gets no requests after it first refused or failed one.
 const PAUSE: Millis = Millis(400);
-/// The longest such pause when failures follow each other.
+/// Upper bound of that pause, which doubles with each consecutive failure.
 const MAX_PAUSE: Millis = Millis(6_400);
-/// Reports must show nothing running over this span before an upstream counts as idle by them: an
-/// entry with callers of its own pauses for less.
+/// How long load reports must show nothing running before an upstream counts as idle. An entry with
+/// callers of its own leaves shorter gaps between requests.
 const IDLE_SPAN: Millis = Millis(3_000);
-/// A report older than this says nothing of the present.
+/// A load report older than this says nothing about the current load.
 const REPORT_TTL: Millis = Millis(1_500);
 
-/// What the platform says of one upstream.
+/// One upstream as listed by the platform.
 #[derive(Clone, Debug)]
 pub struct Listed {
-    /// Its name.
+    /// The upstream's name.
     pub upstream: UpstreamName,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// Whether it is about to leave.
+    /// Whether it is being shut down and gets no new requests.
     pub leaving: bool,
-    /// A number that changes with every start of the upstream's process.
+    /// A number that changes whenever the upstream's process starts.
     pub incarnation: u64,
     /// Its latest load report.
     pub report: Option<LoadReport>,
 }
 
-/// What an upstream reported of its load some time ago.
+/// The load of an upstream at some time in the past, as reported by itself.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadReport {
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Whether it can bear its full load.
+    /// Whether it can handle its full load.
     pub warm: bool,
-    /// How long ago it was made, in milliseconds.
+    /// Age of the report, in milliseconds.
     pub age_ms: u64,
 }
 
-/// Why an upstream's limit fell back to the cold one.
+/// Why an upstream's limit was reset to the cold limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitReset {
-    /// It refused a request as more than it can bear.
+    /// The upstream refused a request because it was overloaded.
     Refused,
-    /// It failed to answer.
+    /// It failed to answer a request.
     Failed,
-    /// Its first byte came far later than usual.
+    /// Its first byte took far longer than usual.
     Slow,
-    /// Its process is another one.
+    /// Its process was restarted.
     Restarted,
-    /// Its setup was changed by order.
+    /// An order changed its setup.
     Changed,
 }
 
 /// The slots of one upstream.
 #[derive(Clone, Debug)]
 pub struct Slots {
-    /// Where the upstream listens.
+    /// The address the upstream listens on.
     pub address: SocketAddr,
-    /// Whether it is about to leave.
+    /// Whether it is being shut down and gets no new requests.
     pub leaving: bool,
     limits: SlotLimits,
     limit: u32,
     incarnation: u64,
-    /// Evidence older than this is not trusted.
+    /// When the limit was last reset. Reports and grants older than this are not evidence.
     reset_at: Millis,
-    /// Whether a report newer than `reset_at` says warm.
+    /// Whether the last report made since `reset_at` says warm.
     confirmed_warm: bool,
-    learned_first_byte: Option<f32>,
+    average_first_byte: Option<f32>,
     paused_until: Millis,
     failures: u32,
-    /// Requests that may run there beside the grants in use; `None` until a report tells.
+    /// Requests that may be running without a grant in use; `None` before the first usable report.
     unaccounted: Option<Vec<Unaccounted>>,
-    /// Only a report made after this shows all of them.
+    /// Only a report made at or after this time includes all of them.
     unaccounted_since: Millis,
-    /// Reports not held against the grants yet.
+    /// Time and running requests of the reports not yet compared with the grants.
     reports: VecDeque<(Millis, u32)>,
-    /// When the first and the last report were made of those that show nothing running, since one
-    /// that showed something.
+    /// When the first and the last report were made in the current run of reports that show nothing
+    /// running.
     idle: Option<(Millis, Millis)>,
 }
 
-/// A request that may still run although no grant in use stands for it.
+/// A request that may still be running although no grant in use covers it.
 #[derive(Clone, Debug)]
 struct Unaccounted {
-    /// The entry that was given the grant, if that is known.
+    /// The entry that holds the grant, if known.
     entry: Option<Instance>,
-    /// The request's deadline: by then it has ended, whatever the reports say.
+    /// Upper bound for the end of the request, whatever the reports show.
     until: Millis,
 }
 
 impl Slots {
-    /// Makes the slots of an upstream first seen at `now`, all of them unproven.
+    /// Creates the slots of an upstream first listed at `now`, with the cold limit.
     pub fn new(now: Millis, listed: &Listed, limits: SlotLimits) -> Slots {
         Slots {
             address: listed.address,
@@ -117,7 +117,7 @@
             incarnation: listed.incarnation,
             reset_at: now,
             confirmed_warm: false,
-            learned_first_byte: None,
+            average_first_byte: None,
             paused_until: now,
             failures: 0,
             unaccounted: None,
@@ -127,18 +127,18 @@
         }
     }
 
-    /// Returns the present limit.
+    /// Returns the current limit.
     pub fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Tells whether the limit is the cold one.
+    /// Returns whether the current limit is the cold limit.
     pub fn is_cold(&self) -> bool {
         self.limit <= self.limits.cold
     }
 
-    /// Returns how many slots are free while `in_flight` grants are in use; `reserved` slots are
-    /// kept back for an instance that can't be heard and may be using them.
+    /// Returns how many slots are free while `in_flight` grants are in use and `reserved` slots are
+    /// withheld for an unreachable entry that may be using them.
     pub fn free(&self, now: Millis, in_flight: u32, reserved: u32) -> u32 {
         let Some(unaccounted) = self.unaccounted(now) else { return 0 };
         if self.leaving || now < self.paused_until {
@@ -147,37 +147,38 @@
         self.limit.saturating_sub(in_flight + unaccounted + reserved)
     }
 
-    /// Returns how many requests may run beside the grants in use; `None` before the first report.
+    /// Returns how many requests may be running without a grant in use; `None` before the first
+    /// usable report.
     pub fn unaccounted(&self, now: Millis) -> Option<u32> {
         let requests = self.unaccounted.as_ref()?;
         Some(requests.iter().filter(|request| now < request.until).count() as u32)
     }
 
-    /// Returns how long the upstream is still left alone.
+    /// Returns the remaining time for which the upstream gets no requests.
     pub fn pause_left(&self, now: Millis) -> Millis {
         self.paused_until.since(now)
     }
 
-    /// Tells whether surely nothing runs there beside the grants in use.
-    pub fn has_only_known(&self, now: Millis) -> bool {
+    /// Returns whether certainly no request is running without a grant in use.
+    pub fn has_no_unaccounted(&self, now: Millis) -> bool {
         self.unaccounted(now) == Some(0)
     }
 
-    /// Tells whether the upstream's reports have shown nothing running for long enough to take it
-    /// for unused, up to the age of the last one.
+    /// Returns whether recent load reports have shown nothing running for long enough to consider the
+    /// upstream unused.
     pub fn is_reported_idle(&self, now: Millis) -> bool {
         self.idle.is_some_and(|(first, last)| {
             last.since(first) >= IDLE_SPAN && now.since(last) <= REPORT_TTL
         })
     }
 
-    /// Takes the upstream for a cold one from now on.
-    pub fn turn_cold(&mut self, now: Millis) {
-        self.learned_first_byte = None;
+    /// Resets the limit and the first-byte average after an order changed the upstream's setup.
+    pub fn on_reconfigured(&mut self, now: Millis) {
+        self.average_first_byte = None;
         self.reset_to_cold(now);
     }
 
-    /// Takes over changed limits from the document.
+    /// Applies the limits of a newer document.
     pub fn set_limits(&mut self, limits: SlotLimits) {
         if limits == self.limits {
             return;
@@ -186,18 +187,18 @@
         self.limit = self.limit.clamp(limits.cold, limits.warm);
     }
 
-    /// Takes in what the platform says.
+    /// Applies the platform's listing of the upstream.
     ///
-    /// `born` is when this dispatcher began: only a report made after it shows every grant of
-    /// an earlier dispatcher. `deadline` bounds how long any of those may run, and `known` counts
-    /// the grants now in use that were given before a point in time.
+    /// `recovered_at` is the end of this dispatcher's recovery period: only a report made since then
+    /// includes every request granted by an earlier dispatcher. `deadline` bounds how long any of
+    /// those may run. `granted_before` counts the grants in use that were issued up to a given time.
     pub fn on_listed(
         &mut self,
         now: Millis,
-        born: Millis,
+        recovered_at: Millis,
         deadline: Millis,
         listed: &Listed,
-        known: impl Fn(Millis) -> u32,
+        granted_before: impl Fn(Millis) -> u32,
     ) -> Option<LimitReset> {
         self.address = listed.address;
         self.leaving = listed.leaving;
@@ -207,13 +208,19 @@
             self.reset_to_cold(now);
         }
         if let Some(report) = listed.report {
-            self.on_report(now, born, deadline, report);
+            self.on_report(now, recovered_at, deadline, report);
         }
-        self.match_reports(now, known);
+        self.reconcile_reports(now, granted_before);
         restarted.then_some(LimitReset::Restarted)
     }
 
-    fn on_report(&mut self, now: Millis, born: Millis, deadline: Millis, report: LoadReport) {
+    fn on_report(
+        &mut self,
+        now: Millis,
+        recovered_at: Millis,
+        deadline: Millis,
+        report: LoadReport,
+    ) {
         let made_at = now.since(Millis(report.age_ms));
         if made_at >= self.reset_at {
             self.confirmed_warm = report.warm;
@@ -221,13 +228,15 @@
                 self.limit = self.limits.cold;
             }
         }
-        if self.unaccounted.is_none() && made_at >= born {
-            // At first all that runs may be an earlier dispatcher's; entries claim theirs later.
-            let anyone = Unaccounted { entry: None, until: now + deadline };
-            self.unaccounted = Some(vec![anyone; report.running as usize]);
+        if self.unaccounted.is_none() && made_at >= recovered_at {
+            // Any running request may have been granted by an earlier dispatcher. Those that entries
+            // list when they open a session are subtracted in `on_entry_reported`.
+            let unknown = Unaccounted { entry: None, until: now + deadline };
+            self.unaccounted = Some(vec![unknown; report.running as usize]);
             self.unaccounted_since = made_at;
             if self.confirmed_warm {
-                // What it bears now it need not be led up to again by one request at a time.
+                // The upstream handles this load already, so the limit need not grow from the cold
+                // one again, one request at a time.
                 self.limit = report.running.clamp(self.limits.cold, self.limits.warm);
             }
         }
@@ -248,7 +257,9 @@
         self.unaccounted.as_ref().is_some_and(|requests| !requests.is_empty())
     }
 
-    /// Takes no more than `running` requests for unaccounted ones, the last to end first.
+    /// Limits the unaccounted requests to `running`, keeping those with the latest deadlines.
+    ///
+    /// Does nothing for a report made before all of them were running.
     fn trim_unaccounted(&mut self, made_at: Millis, running: u32) {
         let since = self.unaccounted_since;
         let Some(requests) = &mut self.unaccounted else { return };
@@ -258,26 +269,27 @@
         }
     }
 
-    /// Subtracts from older reports the grants that surely ran when they were made.
+    /// Lowers the unaccounted requests to what older reports show beyond the grants that were
+    /// running when the reports were made.
     ///
-    /// A grant in use may not have reached the upstream yet, or its end may be under way to here;
-    /// both would hide a request of a silent entry. Allowing time for either makes a mistake rare,
-    /// not impossible. It would do a warm upstream little harm, and a cold one is therefore left
-    /// out: its slots come back when its reports or the deadline show them free.
-    fn match_reports(&mut self, now: Millis, known: impl Fn(Millis) -> u32) {
+    /// A grant in use may not have reached the upstream yet, or the message about its end may still
+    /// be in transit; either would hide a request of a silent entry. Allowing time for both
+    /// makes an error rare, but not impossible. An error does little harm to a warm upstream. Cold
+    /// upstreams are excluded: their slots become free when a report or the deadline shows it.
+    fn reconcile_reports(&mut self, now: Millis, granted_before: impl Fn(Millis) -> u32) {
         while let Some((made_at, running)) = self.reports.front().copied() {
-            if now.since(made_at) < END_SLACK {
+            if now.since(made_at) < MAX_END_DELAY {
                 return;
             }
             self.reports.pop_front();
             if !self.is_cold() {
-                let surely_known = known(made_at.since(START_SLACK));
-                self.trim_unaccounted(made_at, running.saturating_sub(surely_known));
+                let running_grants = granted_before(made_at.since(MAX_START_DELAY));
+                self.trim_unaccounted(made_at, running.saturating_sub(running_grants));
             }
         }
     }
 
-    /// Counts a grant of a silent entry as running until it is shown otherwise.
+    /// Counts a grant of a silent entry as running until a report or its deadline shows otherwise.
     pub fn add_unaccounted(&mut self, now: Millis, entry: &Instance, until: Millis) {
         self.unaccounted_since = now;
         if let Some(requests) = &mut self.unaccounted {
@@ -285,18 +297,20 @@
         }
     }
 
-    /// Stops counting on what was unaccounted of an entry that has told what it holds; `held` of
-    /// its requests here were counted without a name.
-    pub fn on_entry_told(&mut self, entry: &Instance, held: usize) {
+    /// Removes the unaccounted requests of an entry that has listed its grants or has terminated.
+    ///
+    /// `held` of the grants it listed were unknown here; as many unaccounted requests of unknown
+    /// entries are removed.
+    pub fn on_entry_reported(&mut self, entry: &Instance, held: usize) {
         let Some(requests) = &mut self.unaccounted else { return };
         requests.retain(|request| request.entry.as_ref() != Some(entry));
         for _ in 0..held {
-            let nameless = requests.iter().position(|request| request.entry.is_none());
-            nameless.map(|place| requests.swap_remove(place));
+            let unknown = requests.iter().position(|request| request.entry.is_none());
+            unknown.map(|index| requests.swap_remove(index));
         }
     }
 
-    /// Learns from a request that ended well.
+    /// Adjusts the limit after a request completed.
     pub fn on_completed(
         &mut self,
         now: Millis,
@@ -319,18 +333,18 @@
 
     fn is_slow(&mut self, first_byte_ms: u32) -> bool {
         let ms = first_byte_ms as f32;
-        let learned = *self.learned_first_byte.get_or_insert(ms);
-        if ms > (learned * SLOW_FACTOR).max(SLOW_FLOOR_MS) {
+        let average = *self.average_first_byte.get_or_insert(ms);
+        if ms > (average * SLOW_FACTOR).max(MIN_SLOW_MS) {
             return !self.is_cold();
         }
-        self.learned_first_byte = Some(learned + (ms - learned) * LEARN_WEIGHT);
+        self.average_first_byte = Some(average + (ms - average) * FIRST_BYTE_WEIGHT);
         false
     }
 
-    /// Falls back after a refusal or a failure, and leaves the upstream alone for a while.
+    /// Resets the limit after a refusal or a failure, and pauses the upstream.
     ///
-    /// Requests that fail together are one piece of evidence. Were each to double the pause, one
-    /// moment of trouble under a full load would idle the upstream for the longest pause at once.
+    /// Failures during a pause count as one. If each of them doubled the pause, a single brief fault
+    /// under full load would pause the upstream for the maximum time at once.
     pub fn on_trouble(&mut self, now: Millis) {
         if now >= self.paused_until {
             let pause = Millis(PAUSE.0 << self.failures.min(4)).min(MAX_PAUSE);
