--- a/src/kingcupgrade/coordination/dispatcher/counters.rs
+++ b/src/kingcupgrade/coordination/dispatcher/counters.rs
@@ -1,15 +1,15 @@
-//! Who is owed the next slot: weighted service counters of the organisations.
+//! Weighted fair queueing: the service counters that decide which organisation gets the next slot.
 //!
-//! A counter is service over share. The backlogged organisation with the least counter goes first,
-//! which keeps any two backlogged organisations within a bounded gap of each other. Three rules
-//! make that hold here:
+//! A counter is the service received, divided by the organisation's share. The backlogged
+//! organisation with the lowest counter is served first, which bounds the difference between any two
+//! backlogged organisations. Three rules keep that bound:
 //!
-//! - A request's cost is known only at its end, so a grant charges an estimate at once. Without
-//!   that, one organisation would take every free slot before its first cost came in.
-//! - An organisation that becomes backlogged is lifted to the level now being served, so that
-//!   time spent idle banks no claim on later capacity.
-//! - What other failure domains served counts too. Totals and lifts only grow and merge by
-//!   maximum, so a message may be lost, doubled or overtaken without harm.
+//! - A request's cost is known only when it ends, so a grant is charged an estimate at once.
+//!   Otherwise, one organisation could take every free slot before its first cost is reported.
+//! - When an organisation becomes backlogged, its counter is lifted to the current virtual time, so
+//!   that it earns no credit while idle.
+//! - Service received in other failure domains counts too. Totals and lifts only grow and are merged
+//!   by maximum, so lost, duplicated and reordered messages do no harm.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,14 +18,14 @@
     protocol::dispatch::Served,
 };
 
-/// Counter units of one unit of cost at a share of one.
+/// Counter units per unit of cost at a share of 1.
 pub const SCALE: i64 = 10_000;
-/// The estimate for an organisation whose requests have not ended yet.
+/// Estimated cost of a request before any request of its organisation has ended.
 const FIRST_ESTIMATE: u32 = 8;
-/// Weight of the newest cost in the estimate, as a divisor.
+/// Each new cost moves the estimate by their difference, divided by this.
 const ESTIMATE_DIVISOR: i64 = 4;
 
-/// Returns the counter units of `cost` at `share`.
+/// Converts `cost` to counter units for an organisation with `share`.
 pub fn charge(cost: u32, share: u32) -> i64 {
     i64::from(cost) * SCALE / i64::from(share.max(1))
 }
@@ -33,13 +33,13 @@
 #[derive(Clone, Debug)]
 struct Account {
     share: u32,
-    /// Service here that is certain; it only grows.
+    /// Service in this pool that is certain; it only grows.
     served: i64,
-    /// Estimates of grants still in use, less what they already added to `served`.
+    /// Estimates of the grants in use, less what those have already added to `served`.
     pending: i64,
-    /// Service in other failure domains.
+    /// Service received in other failure domains.
     remote: BTreeMap<FailureDomain, i64>,
-    /// Level granted on becoming backlogged; it only grows.
+    /// Total lift received on becoming backlogged; it only grows.
     lift: i64,
     estimate: u32,
     waiting: u32,
@@ -58,7 +58,7 @@
         }
     }
 
-    fn key(&self) -> i64 {
+    fn counter(&self) -> i64 {
         self.served + self.pending + self.remote.values().sum::<i64>() + self.lift
     }
 }
@@ -67,18 +67,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     accounts: BTreeMap<Organisation, Account>,
-    /// The organisations by what messages between failure domains call them.
+    /// The organisations by the tags used in messages between failure domains.
     tags: BTreeMap<OrganisationTag, Organisation>,
-    /// The backlogged organisations by counter.
-    order: BTreeSet<(i64, Organisation)>,
-    /// Organisations whose service changed since it was last exchanged.
+    /// The backlogged organisations, ordered by counter.
+    by_counter: BTreeSet<(i64, Organisation)>,
+    /// Organisations whose service changed since it was last sent in an exchange.
     changed: BTreeSet<Organisation>,
-    /// The counter last served from; it only grows.
-    level: i64,
+    /// Virtual time: the highest counter from which a grant was given; it only grows.
+    virtual_time: i64,
 }
 
 impl Counters {
-    /// Changes one account and keeps the order in step with it.
+    /// Updates one account and its position in the order of backlogged organisations.
     fn update<T>(
         &mut self,
         organisation: &Organisation,
@@ -90,11 +90,11 @@
             Account::new(share)
         });
         if account.waiting > 0 {
-            self.order.remove(&(account.key(), organisation.clone()));
+            self.by_counter.remove(&(account.counter(), organisation.clone()));
         }
         let result = change(account);
         if account.waiting > 0 {
-            self.order.insert((account.key(), organisation.clone()));
+            self.by_counter.insert((account.counter(), organisation.clone()));
         }
         result
     }
@@ -108,78 +108,82 @@
         self.update(organisation, share, |account| account.share = share);
     }
 
-    /// Sets how many of an organisation's requests wait; `elsewhere` is the least counter that
-    /// other failure domains serve from, if known.
+    /// Sets how many of an organisation's requests wait.
+    ///
+    /// `remote_min` is the lowest counter among the backlogged organisations of other failure
+    /// domains, if known.
     pub fn set_waiting(
         &mut self,
         organisation: &Organisation,
         waiting: u32,
-        elsewhere: Option<i64>,
+        remote_min: Option<i64>,
     ) {
-        let level = elsewhere.map_or(self.level, |least| least.min(self.level));
+        let target = remote_min.map_or(self.virtual_time, |least| least.min(self.virtual_time));
         let share = self.share_of(organisation);
-        let lifted = self.update(organisation, share, |account| {
+        let is_lifted = self.update(organisation, share, |account| {
             let becomes_backlogged = account.waiting == 0 && waiting > 0;
             account.waiting = waiting;
-            let short = level - account.key();
-            let lifts = becomes_backlogged && short > 0;
-            if lifts {
-                account.lift += short;
+            let shortfall = target - account.counter();
+            let needs_lift = becomes_backlogged && shortfall > 0;
+            if needs_lift {
+                account.lift += shortfall;
             }
-            lifts
+            needs_lift
         });
-        if lifted {
+        if is_lifted {
             self.changed.insert(organisation.clone());
         }
     }
 
-    /// Returns the backlogged organisation with the least counter.
-    pub fn first(&self) -> Option<&Organisation> {
-        self.order.first().map(|(_, organisation)| organisation)
+    /// Returns the backlogged organisation with the lowest counter.
+    pub fn next_organisation(&self) -> Option<&Organisation> {
+        self.by_counter.first().map(|(_, organisation)| organisation)
     }
 
-    /// Returns the least counter among the backlogged.
-    pub fn least(&self) -> Option<i64> {
-        self.order.first().map(|(key, _)| *key)
+    /// Returns the lowest counter among the backlogged organisations.
+    pub fn min_counter(&self) -> Option<i64> {
+        self.by_counter.first().map(|(counter, _)| *counter)
     }
 
-    /// Tells how many organisations are backlogged.
+    /// Returns how many organisations are backlogged.
     pub fn backlogged(&self) -> usize {
-        self.order.len()
+        self.by_counter.len()
     }
 
-    /// Charges the estimate for a grant and returns the estimated cost.
+    /// Charges an organisation the estimated cost of a grant and returns that cost.
     pub fn charge_estimate(&mut self, organisation: &Organisation) -> u32 {
         let share = self.share_of(organisation);
-        let (key, cost) = self.update(organisation, share, |account| {
-            let key = account.key();
+        let (counter, cost) = self.update(organisation, share, |account| {
+            let counter = account.counter();
             account.pending += charge(account.estimate, account.share);
-            (key, account.estimate)
+            (counter, account.estimate)
         });
-        self.level = self.level.max(key);
+        self.virtual_time = self.virtual_time.max(counter);
         cost
     }
 
-    /// Replaces a part of a grant's estimate by cost that is certain.
+    /// Replaces part of a grant's estimate by actual cost.
     ///
-    /// `counted` is the cost already counted for the grant and `cost` the new, higher one.
+    /// `charged` is the actual cost charged for the grant so far and `cost` the new, higher one.
     pub fn add_cost(
         &mut self,
         organisation: &Organisation,
         estimate: u32,
-        counted: u32,
+        charged: u32,
         cost: u32,
     ) {
         let share = self.share_of(organisation);
         self.update(organisation, share, |account| {
-            let open = |cost: u32| charge(estimate.saturating_sub(cost), account.share);
-            account.pending += open(cost) - open(counted);
-            account.served += charge(cost, account.share) - charge(counted, account.share);
+            let remaining = |cost: u32| charge(estimate.saturating_sub(cost), account.share);
+            account.pending += remaining(cost) - remaining(charged);
+            account.served += charge(cost, account.share) - charge(charged, account.share);
         });
         self.changed.insert(organisation.clone());
     }
 
-    /// Ends a grant: what is left of its estimate is taken back.
+    /// Refunds the part of a grant's estimate that exceeds its actual cost.
+    ///
+    /// The cost enters the moving average of the estimate if `learn` is set.
     pub fn end_grant(
         &mut self,
         organisation: &Organisation,
@@ -198,7 +202,7 @@
         });
     }
 
-    /// Counts a grant that an earlier dispatcher gave, under the present estimate.
+    /// Charges the current estimate for a grant issued by an earlier dispatcher and returns it.
     pub fn adopt_grant(&mut self, organisation: &Organisation) -> u32 {
         let share = self.share_of(organisation);
         self.update(organisation, share, |account| {
@@ -207,27 +211,27 @@
         })
     }
 
-    /// Takes in what another failure domain served, but for organisations that the document here
-    /// does not have yet: they are told again when their service changes.
+    /// Merges the service totals of another failure domain.
     ///
-    /// Returns whether it knows less than was already known of it.
+    /// Organisations that the document here does not have yet are skipped; they are sent again when
+    /// their service changes. Returns whether any total is lower than the known one.
     pub fn merge_remote(&mut self, domain: &FailureDomain, served: &[Served]) -> bool {
-        let mut behind = false;
+        let mut any_lower = false;
         for Served(tag, total, lift) in served {
             let Some(organisation) = self.tags.get(tag).cloned() else { continue };
             let share = self.share_of(&organisation);
-            behind |= self.update(&organisation, share, |account| {
+            any_lower |= self.update(&organisation, share, |account| {
                 let known = account.remote.entry(domain.clone()).or_insert(0);
-                let is_behind = *total < *known;
+                let is_lower = *total < *known;
                 *known = (*known).max(*total);
                 account.lift = account.lift.max(*lift);
-                is_behind
+                is_lower
             });
         }
-        behind
+        any_lower
     }
 
-    /// Takes in what an earlier dispatcher of this pool is known to have served.
+    /// Merges the service totals of earlier dispatchers of this pool.
     pub fn merge_own(&mut self, served: &[Served]) {
         for Served(tag, total, lift) in served {
             let Some(organisation) = self.tags.get(tag).cloned() else { continue };
@@ -239,7 +243,7 @@
         }
     }
 
-    /// Returns what is known of another failure domain's service.
+    /// Returns the known service totals of another failure domain.
     pub fn remote(&self, domain: &FailureDomain) -> Vec<Served> {
         let known = |(organisation, account): (&Organisation, &Account)| {
             let total = account.remote.get(domain)?;
@@ -248,34 +252,36 @@
         self.accounts.iter().filter_map(known).collect()
     }
 
-    /// Takes up to `most` organisations whose service changed, with their totals; those without
-    /// backlog only if `all` are wanted, since nobody is compared with them before they have one.
-    pub fn take_changed(&mut self, most: usize, all: bool) -> Vec<Served> {
+    /// Takes up to `max` organisations whose service changed, with their totals.
+    ///
+    /// Organisations without a backlog are included only if `all` is set, since their counters are
+    /// not compared with others before they have one.
+    pub fn take_changed(&mut self, max: usize, all: bool) -> Vec<Served> {
         let accounts = &self.accounts;
-        let is_wanted = |o: &&Organisation| all || accounts[*o].waiting > 0;
-        let wanted = self.changed.iter().filter(is_wanted).take(most);
-        let wanted: Vec<Organisation> = wanted.cloned().collect();
+        let is_included = |o: &&Organisation| all || accounts[*o].waiting > 0;
+        let included = self.changed.iter().filter(is_included).take(max);
+        let included: Vec<Organisation> = included.cloned().collect();
         let take = |organisation: Organisation| {
             self.changed.remove(&organisation);
             let account = &accounts[&organisation];
             Served(organisation.tag(), account.served, account.lift)
         };
-        wanted.into_iter().map(take).collect()
+        included.into_iter().map(take).collect()
     }
 
-    /// Marks all backlogged organisations as changed, which repairs a lost exchange.
+    /// Marks all backlogged organisations as changed, to make up for lost exchanges.
     pub fn mark_backlogged_changed(&mut self) {
-        let backlogged = self.order.iter().map(|(_, organisation)| organisation.clone());
+        let backlogged = self.by_counter.iter().map(|(_, organisation)| organisation.clone());
         self.changed.extend(backlogged);
     }
 
-    /// Returns an organisation's certain service here.
+    /// Returns the certain service that an organisation received in this pool.
     pub fn served(&self, organisation: &Organisation) -> i64 {
         self.accounts.get(organisation).map_or(0, |account| account.served)
     }
 
     /// Returns an organisation's counter.
-    pub fn key(&self, organisation: &Organisation) -> i64 {
-        self.accounts.get(organisation).map_or(0, Account::key)
+    pub fn counter(&self, organisation: &Organisation) -> i64 {
+        self.accounts.get(organisation).map_or(0, Account::counter)
     }
 }
--- a/src/kingcupgrade/coordination/dispatcher/exchange.rs
+++ b/src/kingcupgrade/coordination/dispatcher/exchange.rs
@@ -23,7 +23,7 @@
     /// much more service than the least served organisation here. If this pool can't serve at all,
     /// they are all listed.
     pub(super) fn offers(&self, now: Millis) -> Vec<Offer> {
-        let Some(own_min) = self.counters.least() else { return Vec::new() };
+        let Some(own_min) = self.counters.min_counter() else { return Vec::new() };
         let cannot_serve = !self.serving || self.slots.is_empty();
         let margin = OFFER_MARGIN * self.average_charge;
         let takes = |remote: &RemoteDispatcher| {
@@ -50,7 +50,7 @@
         }
         let served = self.counters.take_changed(EXCHANGE_BATCH, is_full);
         // A pool that can't serve reports no counter, so that no remote pool sends its demand here.
-        let least = if self.serving { self.counters.least() } else { None };
+        let least = if self.serving { self.counters.min_counter() } else { None };
         let body = DispatchBody::Exchange { free: self.idle_slots(now), least, served };
         out.push(DispatcherOutput::SendToNeighbours(self.message(body)));
     }
--- a/src/kingcupgrade/coordination/dispatcher/grants.rs
+++ b/src/kingcupgrade/coordination/dispatcher/grants.rs
@@ -1,7 +1,8 @@
-//! Who gets the next free slot, and where.
+//! Assignment of free slots to waiting requests.
 //!
-//! A slot goes to whoever is furthest behind, at the upstream with most room. Each grant counts as
-//! taken at once, so two grants of one look can't be given the same slot.
+//! A slot goes to the backlogged organisation with the lowest counter, at the upstream with the
+//! largest free part of its limit. Each grant is counted before the next one is chosen, so one pass
+//! can't grant the same slot twice.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +17,7 @@
 };
 
 impl Dispatcher {
-    /// Returns how long a request may be at an upstream before its deadline has ended it.
+    /// Returns the longest time that a request can run at an upstream, as bounded by its deadline.
     pub(super) fn longest_run(&self) -> Millis {
         Millis(self.document.limits.deadline_ms) + DEADLINE_SLACK
     }
@@ -37,22 +38,22 @@
         self.serving && now >= self.started_at + RECOVERY_PERIOD
     }
 
-    /// Finds the upstream with the largest part of its limit free.
+    /// Returns the upstream with the largest free part of its limit.
     pub(super) fn least_loaded_upstream(&self, now: Millis) -> Option<&UpstreamName> {
-        let with_room = self.slots.iter().filter_map(|(name, slots)| {
+        let with_free_slots = self.slots.iter().filter_map(|(name, slots)| {
             let free = self.free_slots(now, name, slots);
             (free > 0).then(|| (name, u64::from(free) * 1_000 / u64::from(slots.limit().max(1))))
         });
-        with_room.max_by_key(|(_, room)| *room).map(|(name, _)| name)
+        with_free_slots.max_by_key(|(_, free_part)| *free_part).map(|(name, _)| name)
     }
 
-    /// Gives free slots, one at a time, to whoever is furthest behind.
+    /// Grants free slots, one at a time, to the backlogged organisation with the lowest counter.
     pub(super) fn dispatch(&mut self, now: Millis, out: &mut Vec<DispatcherOutput>) {
         if !self.can_grant(now) {
             return;
         }
         let mut batches: BTreeMap<Instance, Vec<Grant>> = BTreeMap::new();
-        while let Some(organisation) = self.counters.first().cloned() {
+        while let Some(organisation) = self.counters.next_organisation().cloned() {
             let Some(upstream) = self.least_loaded_upstream(now).cloned() else { break };
             let Some(entry) = self.demand.longest_queue(&organisation) else { break };
             let grant = self.grant(now, organisation, upstream, &entry, out);
@@ -73,7 +74,7 @@
         entry: &Instance,
         out: &mut Vec<DispatcherOutput>,
     ) -> Grant {
-        let counter = self.counters.key(&organisation);
+        let counter = self.counters.counter(&organisation);
         let estimate = self.counters.charge_estimate(&organisation);
         let charge = counters::charge(estimate, self.document.share(&organisation));
         self.average_charge += (charge - self.average_charge) / 8;
--- a/src/kingcupgrade/coordination/dispatcher/recovery.rs
+++ b/src/kingcupgrade/coordination/dispatcher/recovery.rs
@@ -1,4 +1,4 @@
-//! Entries that open sessions, fall silent or are gone, and the slots they may be using.
+//! Sessions of entries that connect, fall silent or terminate, and the slots they may be using.
 
 use std::collections::BTreeSet;
 
@@ -22,17 +22,17 @@
             return;
         }
         self.terminated.remove(entry);
-        let kept: BTreeSet<GrantId> = held.iter().map(|held| held.id).collect();
+        let held_ids: BTreeSet<GrantId> = held.iter().map(|held| held.id).collect();
         for id in self.grants_of(entry) {
-            if !kept.contains(&id) {
+            if !held_ids.contains(&id) {
                 self.remove_outstanding(id);
             }
         }
         for (name, slots) in &mut self.slots {
-            let new = held
+            let unknown = held
                 .iter()
                 .filter(|held| held.upstream == *name && !self.outstanding.contains_key(&held.id));
-            slots.on_entry_reported(entry, new.count());
+            slots.on_entry_reported(entry, unknown.count());
         }
         for held in held {
             self.adopt(entry, held);
@@ -46,7 +46,7 @@
         of_entry.map(|(id, _)| *id).collect()
     }
 
-    /// Counts a grant that the entry holds, whoever gave it.
+    /// Counts a grant that an entry holds, unless it is already known.
     fn adopt(&mut self, entry: &Instance, held: &Held) {
         if self.outstanding.contains_key(&held.id) {
             return;
@@ -58,7 +58,7 @@
             organisation: held.organisation.clone(),
             upstream: held.upstream.clone(),
             estimate,
-            // What it cost before the take-over is already in the old counters.
+            // The cost until now is already part of the earlier dispatcher's counters.
             charged: held.cost,
             granted_at: Millis::ZERO,
         };
@@ -69,27 +69,27 @@
         if !self.demand.is_current(entry, session) {
             return;
         }
-        // An entry closes a session only when it holds nothing; a grant still counted here was
-        // under way to it and will not be used.
-        self.release(now, entry);
+        // An entry closes a session only when it holds no grant. A grant still counted here was in
+        // transit and will not be used.
+        self.end_session(now, entry);
     }
 
-    /// Ends an entry's session and frees the slots of all its grants; returns the grants.
-    fn release(&mut self, now: Millis, entry: &Instance) -> Vec<OutstandingGrant> {
+    /// Ends an entry's session and removes its grants, which are returned.
+    fn end_session(&mut self, now: Millis, entry: &Instance) -> Vec<OutstandingGrant> {
         self.withdraw_demand(now, entry);
         self.demand.forget(entry);
         let ids = self.grants_of(entry);
         ids.into_iter().filter_map(|id| self.remove_outstanding(id)).collect()
     }
 
-    /// Stops counting on entries that can't be heard.
+    /// Ends the sessions of entries that have been silent for too long.
     ///
-    /// Their requests may still run, so their slots stay taken until a load report shows them
-    /// free; otherwise an upstream would be oversold by exactly the requests of the silent entry.
+    /// Their requests may still be running, so their slots stay occupied until a load report or the
+    /// deadline shows them free. Otherwise the upstream would be overcommitted by those requests.
     pub(super) fn drop_silent_entries(&mut self, now: Millis) {
         for entry in self.demand.silent(now, SESSION_SILENCE) {
             let until = now + self.longest_run();
-            for grant in self.release(now, &entry) {
+            for grant in self.end_session(now, &entry) {
                 if let Some(slots) = self.slots.get_mut(&grant.upstream) {
                     slots.add_unaccounted(now, &entry, until);
                 }
@@ -97,10 +97,10 @@
         }
     }
 
-    /// Learns that an entry could not be dialled.
+    /// Handles a failed connection attempt to an entry.
     ///
-    /// A refused connection proves that the process is gone, and with it its connections to
-    /// upstreams: its slots are free at once, and it uses no static share. Silence proves nothing.
+    /// A refused connection proves that the process has terminated, and with it its connections to
+    /// upstreams: its slots are free at once, and it uses no static share. A timeout proves nothing.
     pub fn on_dial_failed(&mut self, now: Millis, entry: &Instance, refused: bool) {
         if !refused {
             self.terminated.remove(entry);
@@ -110,35 +110,35 @@
             return;
         }
         self.terminated.insert(entry.clone());
-        self.release(now, entry);
+        self.end_session(now, entry);
         for slots in self.slots.values_mut() {
             slots.on_entry_reported(entry, 0);
         }
     }
 
-    /// Keeps back a resident's part of each upstream that is its by static share, from the start and
-    /// whenever that resident is not known to know of this dispatcher.
+    /// Reserves the static share of every entry that may not know of this dispatcher.
     ///
-    /// A resident cut off from the majority may use that part at any time. If this dispatcher gave
-    /// those slots too, a cold upstream would fall over under both. One that is frozen looks the
-    /// same and uses none, so no more than its part may wait for it.
+    /// That applies from the start and whenever an entry has not been heard from recently. An entry
+    /// partitioned from the majority may use its static share at any time. If this dispatcher
+    /// granted those slots too, the combined load would make a cold upstream fail. A frozen entry
+    /// can't be told from a partitioned one and uses no slots, so only the static part is reserved.
     pub(super) fn reserve_static_shares(&mut self, now: Millis) {
         self.reserved.clear();
-        let silent = |i: &Instance| {
-            let is_known = *i == self.instance || self.terminated.contains(i);
-            !is_known && !self.demand.was_heard(now, i, SESSION_SILENCE)
+        let may_use_share = |i: &Instance| {
+            let is_excluded = *i == self.instance || self.terminated.contains(i);
+            !is_excluded && !self.demand.was_heard(now, i, SESSION_SILENCE)
         };
-        if !self.local_entries.iter().any(silent) {
+        if !self.local_entries.iter().any(may_use_share) {
             return;
         }
-        let kept = self.static_owners.iter().filter(|(_, owner)| silent(owner));
+        let reserved = self.static_owners.iter().filter(|(_, owner)| may_use_share(owner));
         let part = self.document.slots.static_part();
-        self.reserved = kept.map(|(name, _)| (name.clone(), part)).collect();
+        self.reserved = reserved.map(|(name, _)| (name.clone(), part)).collect();
     }
 
-    /// Notes that a resident knows of this dispatcher and so uses no static share.
-    pub fn on_acknowledged(&mut self, now: Millis, resident: &Instance) {
-        self.terminated.remove(resident);
-        self.demand.note_heard(now, resident);
+    /// Records that an entry knows of this dispatcher and therefore uses no static share.
+    pub fn on_acknowledged(&mut self, now: Millis, entry: &Instance) {
+        self.terminated.remove(entry);
+        self.demand.note_heard(now, entry);
     }
 }
--- a/src/kingcupgrade/coordination/dispatcher/withheld.rs
+++ b/src/kingcupgrade/coordination/dispatcher/withheld.rs
@@ -1,8 +1,8 @@
-//! Why requests wait although not all slots are given.
+//! Logging of slots that are withheld while requests wait.
 //!
-//! Slots that nobody was given may still not be free: an entry that can't be heard may use them, or
-//! a request of before may still run. Without a line about it, a dispatcher that keeps them back
-//! looks like one that stands still.
+//! A slot without a grant is not necessarily free: an unreachable entry may be using it, or an
+//! earlier request may still be running there. Without a log line, a dispatcher that withholds slots
+//! can't be told from one that hangs.
 
 use super::{Dispatcher, DispatcherOutput};
 use crate::{
@@ -10,11 +10,11 @@
     core::Millis,
 };
 
-/// How often a line is written about it while it lasts.
-const INTERVAL: Millis = Millis(1_000);
+/// Interval between log lines while slots are withheld.
+const LOG_INTERVAL: Millis = Millis(1_000);
 
 impl Dispatcher {
-    /// Tells which slots are withheld while requests wait, if there are such.
+    /// Logs which slots are withheld, if any are and requests wait.
     pub(super) fn report_withheld(&mut self, now: Millis, out: &mut Vec<DispatcherOutput>) {
         if self.counters.backlogged() == 0 || now < self.next_withheld_report {
             return;
@@ -32,7 +32,7 @@
         if withheld.is_empty() {
             return;
         }
-        self.next_withheld_report = now + INTERVAL;
+        self.next_withheld_report = now + LOG_INTERVAL;
         out.push(DispatcherOutput::Decided(Decision::Withheld {
             service: self.pool.0.clone(),
             term: self.term,
