--- a/src/kingcupgrade/coordination/dispatcher/counters.rs
+++ b/src/kingcupgrade/coordination/dispatcher/counters.rs
@@ -1,15 +1,15 @@
 //! Weighted fair queueing: the service counters that decide which organisation gets the next slot.
 //!
 //! A counter is the service received, divided by the organisation's share. The backlogged
-//! organisation with the lowest counter is served first, which bounds the difference between any two
-//! backlogged organisations. Three rules keep that bound:
+//! organisation with the lowest counter is served first, which bounds the difference between any
+//! two backlogged organisations. Three rules keep that bound:
 //!
 //! - A request's cost is known only when it ends, so a grant is charged an estimate at once.
 //!   Otherwise, one organisation could take every free slot before its first cost is reported.
 //! - When an organisation becomes backlogged, its counter is lifted to the current virtual time, so
 //!   that it earns no credit while idle.
-//! - Service received in other failure domains counts too. Totals and lifts only grow and are merged
-//!   by maximum, so lost, duplicated and reordered messages do no harm.
+//! - Service received in other failure domains counts too. Totals and lifts only grow and are
+//!   merged by maximum, so lost, duplicated and reordered messages do no harm.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/kingcupgrade/coordination/dispatcher/demand.rs
+++ b/src/kingcupgrade/coordination/dispatcher/demand.rs
@@ -17,7 +17,8 @@
     acked_at: Millis,
     /// Number of grants sent in the session.
     granted: u64,
-    /// Organisations of the grants that the entry had not received at its last report, oldest first.
+    /// Organisations of the grants that the entry had not received at its last report, oldest
+    /// first.
     unreceived: VecDeque<Organisation>,
     /// Waiting requests as last reported, less the grants received since.
     reported: BTreeMap<Organisation, u32>,
@@ -116,7 +117,8 @@
     /// Subtracts a received grant from the reported count.
     ///
     /// The entry does the same and reports a count only if it differs from the result. Without the
-    /// subtraction, the request would count as waiting again once its grant is no longer in transit.
+    /// subtraction, the request would count as waiting again once its grant is no longer in
+    /// transit.
     fn subtract_received(&mut self, entry: &Instance, organisation: &Organisation) {
         let reported = self.sessions.get(entry).and_then(|state| state.reported.get(organisation));
         if let Some(count) = reported.copied() {
--- a/src/kingcupgrade/coordination/dispatcher/mod.rs
+++ b/src/kingcupgrade/coordination/dispatcher/mod.rs
@@ -131,8 +131,8 @@
 impl Dispatcher {
     /// Creates the dispatcher of `pool` for lease term `term`.
     ///
-    /// `local_entries` are the entries of the failure domain. Slots that an unreachable one of them may
-    /// be using are reserved.
+    /// `local_entries` are the entries of the failure domain. Slots that an unreachable one of them
+    /// may be using are reserved.
     pub fn new(
         now: Millis,
         pool: Pool,
--- a/src/kingcupgrade/coordination/dispatcher/recovery.rs
+++ b/src/kingcupgrade/coordination/dispatcher/recovery.rs
@@ -100,7 +100,8 @@
     /// Handles a failed connection attempt to an entry.
     ///
     /// A refused connection proves that the process has terminated, and with it its connections to
-    /// upstreams: its slots are free at once, and it uses no static share. A timeout proves nothing.
+    /// upstreams: its slots are free at once, and it uses no static share. A timeout proves
+    /// nothing.
     pub fn on_dial_failed(&mut self, now: Millis, entry: &Instance, refused: bool) {
         if !refused {
             self.terminated.remove(entry);
--- a/src/kingcupgrade/coordination/dispatcher/slots.rs
+++ b/src/kingcupgrade/coordination/dispatcher/slots.rs
@@ -1,8 +1,9 @@
 //! The concurrency limit of one upstream, derived from delayed load reports and request outcomes.
 //!
-//! A cold upstream fails under full load. Its load reports are delayed, so a report that says "warm"
-//! may have been made before the upstream turned cold again. Newer evidence (a refusal, a failure, a
-//! slow first byte, a new incarnation) therefore invalidates every report made before it.
+//! A cold upstream fails under full load. Its load reports are delayed, so a report that says
+//! "warm" may have been made before the upstream turned cold again. Newer evidence (a refusal, a
+//! failure, a slow first byte, a new incarnation) therefore invalidates every report made before
+//! it.
 
 use std::{collections::VecDeque, net::SocketAddr};
 
@@ -164,8 +165,8 @@
         self.unaccounted(now) == Some(0)
     }
 
-    /// Returns whether recent load reports have shown nothing running for long enough to consider the
-    /// upstream unused.
+    /// Returns whether recent load reports have shown nothing running for long enough to consider
+    /// the upstream unused.
     pub fn is_reported_idle(&self, now: Millis) -> bool {
         self.idle.is_some_and(|(first, last)| {
             last.since(first) >= IDLE_SPAN && now.since(last) <= REPORT_TTL
@@ -189,9 +190,10 @@
 
     /// Applies the platform's listing of the upstream.
     ///
-    /// `recovered_at` is the end of this dispatcher's recovery period: only a report made since then
-    /// includes every request granted by an earlier dispatcher. `deadline` bounds how long any of
-    /// those may run. `granted_before` counts the grants in use that were issued up to a given time.
+    /// `recovered_at` is the end of this dispatcher's recovery period: only a report made since
+    /// then includes every request granted by an earlier dispatcher. `deadline` bounds how long any
+    /// of those may run. `granted_before` counts the grants in use that were issued up to a given
+    /// time.
     pub fn on_listed(
         &mut self,
         now: Millis,
@@ -229,8 +231,8 @@
             }
         }
         if self.unaccounted.is_none() && made_at >= recovered_at {
-            // Any running request may have been granted by an earlier dispatcher. Those that entries
-            // list when they open a session are subtracted in `on_entry_reported`.
+            // Any running request may have been granted by an earlier dispatcher. Those that
+            // entries list when they open a session are subtracted in `on_entry_reported`.
             let unknown = Unaccounted { entry: None, until: now + deadline };
             self.unaccounted = Some(vec![unknown; report.running as usize]);
             self.unaccounted_since = made_at;
@@ -343,8 +345,8 @@
 
     /// Resets the limit after a refusal or a failure, and pauses the upstream.
     ///
-    /// Failures during a pause count as one. If each of them doubled the pause, a single brief fault
-    /// under full load would pause the upstream for the maximum time at once.
+    /// Failures during a pause count as one. If each of them doubled the pause, a single brief
+    /// fault under full load would pause the upstream for the maximum time at once.
     pub fn on_trouble(&mut self, now: Millis) {
         if now >= self.paused_until {
             let pause = Millis(PAUSE.0 << self.failures.min(4)).min(MAX_PAUSE);
