--- a/src/kingcupgrade/coordination/lease/messages.rs
+++ b/src/kingcupgrade/coordination/lease/messages.rs
@@ -1,6 +1,6 @@
-//! What an instance does with the others' messages about leases: votes, wins, releases.
+//! Handling of lease messages: requests, replies, announcements and releases.
 
-use super::{Holder, LEASE, Lease, LeaseBook, LeaseOutput, MARGIN, Vote};
+use super::{CLOCK_MARGIN, Holder, LEASE, Lease, LeaseBook, LeaseOutput, Vote};
 use crate::{
     core::{Instance, Millis, Service},
     protocol::lease::{Claim, LeaseMessage},
@@ -15,7 +15,7 @@
         message: &LeaseMessage,
         out: &mut Vec<LeaseOutput>,
     ) {
-        if !self.residents.contains(from) {
+        if !self.local_entries.contains(from) {
             return;
         }
         match message {
@@ -43,8 +43,8 @@
         claims: &[Claim],
         out: &mut Vec<LeaseOutput>,
     ) {
-        let may_have_forgotten = now.since(self.started) < LEASE;
-        if may_have_forgotten || !self.voters.contains(&self.instance) {
+        let may_have_lost_votes = now.since(self.started) < LEASE;
+        if may_have_lost_votes || !self.voters.contains(&self.instance) {
             return;
         }
         let (mut granted, mut refused) = (Vec::new(), Vec::new());
@@ -73,7 +73,7 @@
         refused: Vec<Claim>,
         out: &mut Vec<LeaseOutput>,
     ) {
-        let sharing = self.sharing.clone();
+        let sharing = self.static_share_services.clone();
         let reply = LeaseMessage::Reply { round, granted, refused, sharing };
         out.push(LeaseOutput::Send(to.clone(), reply));
     }
@@ -92,7 +92,7 @@
         }
         let majority = self.voters.len() / 2 + 1;
         let Some(state) = self.rounds.get_mut(&round) else { return };
-        let until = (state.sent + LEASE).since(MARGIN);
+        let until = (state.sent_at + LEASE).since(CLOCK_MARGIN);
         let mut won = Vec::new();
         for claim in granted {
             let voters = state.granted.entry(claim.clone()).or_default();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Notes who holds leases; returns those of the claims that are not outdated.
+    /// Records the announced lease holders and returns the claims that are not outdated.
     pub(super) fn on_announce(
         &mut self,
         now: Millis,
@@ -145,7 +145,7 @@
             if known.is_some_and(|known| known.term > *term) {
                 continue;
             }
-            let holder = Holder { instance: from.clone(), term: *term, heard: now };
+            let holder = Holder { instance: from.clone(), term: *term, last_heard: now };
             self.holders.insert(service.clone(), holder);
             accepted.push(Claim(service.clone(), *term));
         }
@@ -163,14 +163,15 @@
             if let Some(holder) = self.holders.get_mut(service)
                 && holder.instance == *from
             {
-                // Heard a lease ago: the next rank asks at once.
-                holder.heard = now.since(LEASE);
+                // As if last heard a lease duration ago, so that the other entries wait only for
+                // their rank's delay.
+                holder.last_heard = now.since(LEASE);
             }
         }
     }
 }
 
-/// Tells whether a voter bound by `vote` may grant `term` to `from`.
+/// Returns whether a voter that has given `vote` may grant `term` to `from`.
 fn may_grant(vote: &Vote, now: Millis, from: &Instance, term: u64) -> bool {
     let renews = vote.holder == *from && term >= vote.term;
     let is_free = now >= vote.until && term > vote.term;
--- a/src/kingcupgrade/coordination/lease/mod.rs
+++ b/src/kingcupgrade/coordination/lease/mod.rs
@@ -1,8 +1,8 @@
-//! Leases on the dispatching of pools, held by majority vote within one failure domain.
+//! Leases for dispatching pools, granted by a majority of voters within one failure domain.
 //!
-//! A failure domain cut off from all others must go on serving, so the vote needs nobody outside
-//! it. Votes are kept in memory only: a voter that restarted may have forgotten a promise, and
-//! therefore stays silent until any promise it could have made has run out.
+//! A failure domain that is partitioned from all others must keep serving, so all voters are in the
+//! failure domain itself. Votes are kept in memory only. A restarted voter may have lost a vote, so
+//! it does not vote until every vote it could have given has expired.
 
 mod messages;
 
@@ -14,33 +14,34 @@
     util::rendezvous::ranking,
 };
 
-/// How long a promise of a voter lasts.
+/// How long a vote, and thus a lease, is valid.
 pub const LEASE: Millis = Millis(2_000);
-/// A holder stops this much before its voters' promises end, for clocks that run at other speeds.
-const MARGIN: Millis = Millis(200);
+/// A holder stops this long before its voters' votes expire, to allow for clock drift.
+const CLOCK_MARGIN: Millis = Millis(200);
 /// How often leases are renewed.
-const RENEWAL: Millis = Millis(500);
-/// How often they are announced to the whole failure domain.
-const ANNOUNCEMENT: Millis = Millis(1_000);
-/// Each further rank waits this much longer before it asks for a lease without holder.
+const RENEWAL_INTERVAL: Millis = Millis(500);
+/// How often held leases are announced to the whole failure domain.
+const ANNOUNCEMENT_INTERVAL: Millis = Millis(1_000);
+/// Additional delay per rank before an instance requests a lease that has no holder.
 const RANK_DELAY: Millis = Millis(300);
-/// An instance that has not won a lease this long after asking gives its votes back.
-const ATTEMPT: Millis = Millis(250);
-/// Milliseconds of the wall clock for each term; attempts are further apart.
-const TERM_SPAN: u64 = 500;
-/// Voters of a failure domain at most; more would cost messages and add no safety.
+/// How long an instance waits for a majority before it gives the votes back.
+const ATTEMPT_TIMEOUT: Millis = Millis(250);
+/// Milliseconds of wall-clock time per term. Attempts of an instance are further apart than this,
+/// so the clock advances faster than the terms.
+const MILLIS_PER_TERM: u64 = 500;
+/// Maximum number of voters in a failure domain; more would add messages but no safety.
 const MAX_VOTERS: usize = 7;
-/// Rounds whose replies are still counted.
-const KEPT_ROUNDS: usize = 8;
+/// Number of most recent request rounds whose replies are still counted.
+const MAX_ROUNDS: usize = 8;
 
-/// What the lease book wants done or has learned.
+/// An action requested or a change reported by the lease manager.
 #[derive(Clone, Debug)]
 pub enum LeaseOutput {
     /// Send a message.
     Send(Instance, LeaseMessage),
-    /// This instance now holds the lease of a service's pool.
+    /// This instance gained the lease of a service's pool, with this term.
     Gained(Service, u64),
-    /// This instance no longer holds the lease.
+    /// This instance lost the lease that it held with this term.
     Lost(Service, u64),
 }
 
@@ -51,27 +52,27 @@
     until: Millis,
 }
 
-/// Who holds a pool's lease, as far as announced.
+/// The holder of a pool's lease, as last announced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The instance.
     pub instance: Instance,
-    /// The term of its lease.
+    /// The term of the lease.
     pub term: u64,
-    heard: Millis,
+    last_heard: Millis,
 }
 
 #[derive(Clone, Debug)]
 struct Round {
-    sent: Millis,
+    sent_at: Millis,
     granted: BTreeMap<Claim, BTreeSet<Instance>>,
 }
 
-/// A lease asked for and not won yet.
+/// A request for a lease that has no majority yet.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     term: u64,
-    asked: Millis,
+    requested_at: Millis,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -80,58 +81,60 @@
     until: Millis,
 }
 
-/// All leases of one failure domain, as one of its entries sees them.
+/// The leases of one failure domain, as known to one of its entries.
 #[derive(Clone, Debug)]
 pub struct LeaseBook {
     instance: Instance,
     voters: Vec<Instance>,
-    residents: Vec<Instance>,
+    local_entries: Vec<Instance>,
     started: Millis,
     services: Vec<Service>,
-    /// This instance's rank for each service; looked up with every tick.
+    /// This instance's rank for each service, cached because every tick needs it.
     ranks: BTreeMap<Service, u64>,
     votes: BTreeMap<Service, Vote>,
     holders: BTreeMap<Service, Holder>,
     held: BTreeMap<Service, Lease>,
     attempts: BTreeMap<Service, Attempt>,
-    /// When to ask again after an attempt that failed.
+    /// Earliest time of the next attempt after a failed one.
     retry_at: BTreeMap<Service, Millis>,
-    /// The least term to ask for.
+    /// The lowest term to request.
     first_term: u64,
-    /// The highest term seen of each service.
+    /// The highest term seen for each service.
     terms: BTreeMap<Service, u64>,
     rounds: BTreeMap<u64, Round>,
     next_round: u64,
     next_renewal: Millis,
     next_announcement: Millis,
     retired: bool,
-    /// Services of which requests run here under a static share.
-    sharing: Vec<Service>,
-    /// When an instance's machine last answered that no such process runs.
-    gone: BTreeMap<Instance, Millis>,
-    /// When it was last told that time passes.
-    ticked: Millis,
+    /// Services with requests running here under a static share.
+    static_share_services: Vec<Service>,
+    /// When a connection to an instance was last refused, which shows that its process does not
+    /// run.
+    terminated: BTreeMap<Instance, Millis>,
+    /// Time of the last tick.
+    last_tick: Millis,
 }
 
 impl LeaseBook {
-    /// Makes the book of `instance` among the `residents` of `domain`, itself included.
+    /// Creates the lease manager of `instance`, where `local_entries` are the entries of `domain`,
+    /// including `instance`.
     ///
-    /// `incarnation` is the wall clock at the start of the process, in milliseconds. Terms begin
-    /// from it: were all voters restarted at once, they would otherwise begin at one again, and a
-    /// new grant could bear the name of one that an instance elsewhere still uses.
+    /// `incarnation` is the wall-clock time at which the process started, in milliseconds, and
+    /// determines the first term. If terms started at 1 and all voters restarted at once, terms
+    /// would repeat, and a new grant could get the ID of one that another instance still uses.
     pub fn new(
         now: Millis,
         incarnation: u64,
         instance: Instance,
         domain: &FailureDomain,
-        residents: Vec<Instance>,
+        local_entries: Vec<Instance>,
     ) -> LeaseBook {
-        let mut voters = ranking(domain.as_str(), residents.iter().cloned());
+        let mut voters = ranking(domain.as_str(), local_entries.iter().cloned());
         voters.truncate(MAX_VOTERS);
         LeaseBook {
             instance,
             voters,
-            residents,
+            local_entries,
             started: now,
             services: Vec::new(),
             ranks: BTreeMap::new(),
@@ -140,86 +143,88 @@
             held: BTreeMap::new(),
             attempts: BTreeMap::new(),
             retry_at: BTreeMap::new(),
-            first_term: incarnation / TERM_SPAN,
+            first_term: incarnation / MILLIS_PER_TERM,
             terms: BTreeMap::new(),
             rounds: BTreeMap::new(),
             next_round: 1,
             next_renewal: now,
             next_announcement: now,
             retired: false,
-            sharing: Vec::new(),
-            gone: BTreeMap::new(),
-            ticked: now,
+            static_share_services: Vec::new(),
+            terminated: BTreeMap::new(),
+            last_tick: now,
         }
     }
 
     /// Sets the services whose pools need a dispatcher.
     pub fn set_services(&mut self, services: Vec<Service>) {
-        let ranks = services.iter().map(|service| (service.clone(), self.work_out_rank(service)));
+        let ranks = services.iter().map(|service| (service.clone(), self.compute_rank(service)));
         self.ranks = ranks.collect();
         self.services = services;
     }
 
-    fn work_out_rank(&self, service: &Service) -> u64 {
-        let ranked = ranking(service.as_str(), self.residents.iter().cloned());
+    fn compute_rank(&self, service: &Service) -> u64 {
+        let ranked = ranking(service.as_str(), self.local_entries.iter().cloned());
         ranked.iter().position(|i| *i == self.instance).unwrap_or(ranked.len()) as u64
     }
 
-    /// Sets the services of which requests run here under a static share.
+    /// Sets the services with requests running here under a static share.
     pub fn set_sharing(&mut self, services: Vec<Service>) {
-        self.sharing = services;
+        self.static_share_services = services;
     }
 
-    /// Learns that an instance could not be dialled; `refused` if its machine answered that no such
-    /// process runs.
+    /// Handles a failed connection attempt; `refused` states whether the connection was refused,
+    /// which shows that the process does not run.
     ///
-    /// Of a process that stood still the word may be as old as that lasted, so it counts for nothing.
+    /// If this process was stalled, the refusal may be as old as the stall, so it is ignored.
     pub fn on_dial_failed(&mut self, now: Millis, instance: &Instance, refused: bool) {
-        if refused && now.since(self.ticked) <= MARGIN {
-            self.gone.insert(instance.clone(), now);
+        if refused && now.since(self.last_tick) <= CLOCK_MARGIN {
+            self.terminated.insert(instance.clone(), now);
         } else {
-            self.gone.remove(instance);
+            self.terminated.remove(instance);
         }
     }
 
-    /// Tells whether the other voters may make a majority without this instance.
+    /// Returns whether the other voters may form a majority without this instance.
     ///
-    /// A voter whose process was gone a moment ago can't vote before a lease has passed since: it
-    /// stays silent for as long when it starts.
+    /// A voter whose process was recently found terminated can't vote until a lease duration later,
+    /// because a restarted voter does not vote for that long.
     pub fn may_be_outvoted(&self, now: Millis) -> bool {
-        let is_gone = |voter: &Instance| {
-            self.gone.get(voter).is_some_and(|at| now.since(*at) < LEASE.since(MARGIN))
+        let is_terminated = |voter: &Instance| {
+            self.terminated.get(voter).is_some_and(|at| now.since(*at) < LEASE.since(CLOCK_MARGIN))
         };
         let others = self.voters.iter().filter(|voter| **voter != self.instance);
-        others.filter(|voter| !is_gone(voter)).count() > self.voters.len() / 2
+        others.filter(|voter| !is_terminated(voter)).count() > self.voters.len() / 2
     }
 
-    /// Tells whether another instance may hold a service's lease, as far as can be known here.
+    /// Returns whether another instance may hold a service's lease, as far as known here.
     pub fn may_be_held(&self, now: Millis, service: &Service) -> bool {
         let vote = self.votes.get(service);
         let promised = vote.is_some_and(|v| v.holder != self.instance && now < v.until);
         promised || self.holder(now, service).is_some()
     }
 
-    /// Returns the holder of a service's pool, if one was heard within a lease.
+    /// Returns the lease holder of a service's pool, if it announced itself within a lease
+    /// duration.
     pub fn holder(&self, now: Millis, service: &Service) -> Option<&Holder> {
-        self.holders.get(service).filter(|holder| now.since(holder.heard) < LEASE)
+        self.holders.get(service).filter(|holder| now.since(holder.last_heard) < LEASE)
     }
 
-    /// Returns the term under which this instance holds the lease now.
+    /// Returns the term of the lease, if this instance holds it now.
     pub fn held_term(&self, now: Millis, service: &Service) -> Option<u64> {
         self.held.get(service).filter(|lease| now < lease.until).map(|lease| lease.term)
     }
 
-    /// Returns until when this instance surely holds the lease, if it does.
+    /// Returns the time until which this instance is certain to hold the lease, if it holds it now.
     pub fn held_until(&self, now: Millis, service: &Service) -> Option<Millis> {
         self.held.get(service).map(|lease| lease.until).filter(|until| now < *until)
     }
 
-    /// Ends leases that have run out; to be called before anything else is decided.
+    /// Ends expired leases. Must be called before any other input is handled.
     ///
-    /// A process stopped by a signal or a slow machine may wake long after its lease passed on.
-    /// Grants given then would oversell the upstreams beside the new holder's.
+    /// A process that was stopped by a signal or starved of CPU may resume long after its lease
+    /// passed to another instance. Together with the new holder's grants, grants issued then would
+    /// overcommit the upstreams.
     pub fn expire(&mut self, now: Millis, out: &mut Vec<LeaseOutput>) {
         let ended = |(service, lease): (&Service, &Lease)| {
             (now >= lease.until).then(|| (service.clone(), lease.term))
@@ -231,17 +236,17 @@
         }
     }
 
-    /// Handles the passing of time.
+    /// Runs the periodic work: expiry, attempts, renewals and announcements.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<LeaseOutput>) {
-        self.ticked = now;
+        self.last_tick = now;
         self.expire(now, out);
         if self.retired {
             return;
         }
-        self.give_up_attempts(now, out);
-        let mut claims = self.new_attempts(now);
+        self.abandon_attempts(now, out);
+        let mut claims = self.start_attempts(now);
         if now >= self.next_renewal {
-            self.next_renewal = now + RENEWAL;
+            self.next_renewal = now + RENEWAL_INTERVAL;
             if now >= self.next_announcement {
                 self.announce(now, out);
             }
@@ -256,46 +261,49 @@
         self.held.iter().map(|(service, lease)| Claim(service.clone(), lease.term)).collect()
     }
 
-    /// Gives back the votes of attempts that did not win.
+    /// Releases the votes of attempts that won no majority in time.
     ///
-    /// Two instances that ask at the same time may win part of the votes each. If both kept theirs
-    /// and went on asking, neither could ever win, and the pool would stay without dispatcher.
-    fn give_up_attempts(&mut self, now: Millis, out: &mut Vec<LeaseOutput>) {
-        let is_over = |(_, attempt): &(&Service, &Attempt)| now.since(attempt.asked) >= ATTEMPT;
-        let over = self.attempts.iter().filter(is_over);
+    /// Two instances that request a lease at the same time may split the votes. If both kept their
+    /// votes and continued to ask, neither would win, and the pool would have no dispatcher.
+    fn abandon_attempts(&mut self, now: Millis, out: &mut Vec<LeaseOutput>) {
+        let has_timed_out = |(_, attempt): &(&Service, &Attempt)| {
+            now.since(attempt.requested_at) >= ATTEMPT_TIMEOUT
+        };
+        let timed_out = self.attempts.iter().filter(has_timed_out);
         let claims: Vec<Claim> =
-            over.map(|(service, attempt)| Claim(service.clone(), attempt.term)).collect();
+            timed_out.map(|(service, attempt)| Claim(service.clone(), attempt.term)).collect();
         for Claim(service, _) in &claims {
-            // A vote that comes later counts no more: it is given back here.
+            // A vote that arrives later is not counted, since the release gives it back.
             self.attempts.remove(service);
-            let pause = RANK_DELAY.0 * (self.rank(service) + 1);
-            self.retry_at.insert(service.clone(), now + Millis(pause));
+            let delay = RANK_DELAY.0 * (self.rank(service) + 1);
+            self.retry_at.insert(service.clone(), now + Millis(delay));
         }
         if !claims.is_empty() {
             self.release(now, &claims, out);
         }
     }
 
-    fn new_attempts(&mut self, now: Millis) -> Vec<Claim> {
+    fn start_attempts(&mut self, now: Millis) -> Vec<Claim> {
         let mut claims = Vec::new();
         for service in self.services.clone() {
-            let has_own = self.held.contains_key(&service) || self.attempts.contains_key(&service);
-            if has_own || !self.may_ask(now, &service) {
+            let is_pending =
+                self.held.contains_key(&service) || self.attempts.contains_key(&service);
+            if is_pending || !self.may_request(now, &service) {
                 continue;
             }
             let term = self.terms.entry(service.clone()).or_insert(0);
             *term = (*term + 1).max(self.first_term);
-            self.attempts.insert(service.clone(), Attempt { term: *term, asked: now });
+            self.attempts.insert(service.clone(), Attempt { term: *term, requested_at: now });
             claims.push(Claim(service, *term));
         }
         claims
     }
 
-    /// Tells whether a lease is without holder for long enough that this instance's rank asks.
-    fn may_ask(&self, now: Millis, service: &Service) -> bool {
-        let heard = self.holders.get(service).map_or(self.started, |holder| holder.heard);
+    /// Returns whether a lease has had no holder for as long as this instance's rank must wait.
+    fn may_request(&self, now: Millis, service: &Service) -> bool {
+        let last_heard = self.holders.get(service).map_or(self.started, |holder| holder.last_heard);
         let is_due = self.retry_at.get(service).is_none_or(|at| now >= *at);
-        is_due && now.since(heard) >= LEASE + Millis(RANK_DELAY.0 * self.rank(service))
+        is_due && now.since(last_heard) >= LEASE + Millis(RANK_DELAY.0 * self.rank(service))
     }
 
     fn rank(&self, service: &Service) -> u64 {
@@ -305,8 +313,8 @@
     fn request(&mut self, now: Millis, claims: Vec<Claim>, out: &mut Vec<LeaseOutput>) {
         let round = self.next_round;
         self.next_round += 1;
-        self.rounds.insert(round, Round { sent: now, granted: BTreeMap::new() });
-        while self.rounds.len() > KEPT_ROUNDS {
+        self.rounds.insert(round, Round { sent_at: now, granted: BTreeMap::new() });
+        while self.rounds.len() > MAX_ROUNDS {
             self.rounds.pop_first();
         }
         for voter in self.voters.clone() {
@@ -316,21 +324,22 @@
     }
 
     fn announce(&mut self, now: Millis, out: &mut Vec<LeaseOutput>) {
-        // A little early, so that the renewal it falls on is not missed by a tick.
-        self.next_announcement = now + ANNOUNCEMENT.since(Millis(RENEWAL.0 / 2));
+        // Due half a renewal interval early. Otherwise, a renewal that comes slightly early would
+        // skip the announcement until the next renewal.
+        self.next_announcement = now + ANNOUNCEMENT_INTERVAL.since(Millis(RENEWAL_INTERVAL.0 / 2));
         let claims = self.held_claims();
         if claims.is_empty() {
             return;
         }
         let own = self.instance.clone();
         self.on_announce(now, &own, &claims);
-        for resident in self.residents.iter().filter(|i| **i != self.instance) {
+        for entry in self.local_entries.iter().filter(|i| **i != self.instance) {
             let message = LeaseMessage::Announce { claims: claims.clone() };
-            out.push(LeaseOutput::Send(resident.clone(), message));
+            out.push(LeaseOutput::Send(entry.clone(), message));
         }
     }
 
-    /// Gives up all leases and asks for none again.
+    /// Releases all leases and requests none from now on.
     pub fn retire(&mut self, now: Millis, out: &mut Vec<LeaseOutput>) {
         self.retired = true;
         let claims = self.held_claims();
@@ -345,9 +354,9 @@
     fn release(&mut self, now: Millis, claims: &[Claim], out: &mut Vec<LeaseOutput>) {
         let own = self.instance.clone();
         self.on_release(now, &own, claims);
-        for resident in self.residents.iter().filter(|i| **i != self.instance) {
+        for entry in self.local_entries.iter().filter(|i| **i != self.instance) {
             let message = LeaseMessage::Release { claims: claims.to_vec() };
-            out.push(LeaseOutput::Send(resident.clone(), message));
+            out.push(LeaseOutput::Send(entry.clone(), message));
         }
     }
 
