--- a/src/kingcupgrade/coordination/entry/queue.rs
+++ b/src/kingcupgrade/coordination/entry/queue.rs
@@ -1,7 +1,7 @@
-//! Requests that wait at this entry, by organisation, within bounds.
+//! Bounded queues of waiting requests, one per service and organisation.
 //!
-//! Without a bound per organisation, one that floods the entry would fill its memory, and the
-//! others' requests would be refused for want of room.
+//! Without a bound per organisation, a single organisation could fill the entry's memory, and the
+//! requests of all others would be refused for lack of space.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,7 +21,7 @@
 }
 
 impl Queues {
-    /// Tells whether a request of `bytes` fits.
+    /// Returns whether a request of `bytes` fits into its queue.
     pub fn has_room(
         &self,
         service: &Service,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Appends a request.
+    /// Appends a request to its queue.
     pub fn push_back(
         &mut self,
         service: &Service,
@@ -46,10 +46,10 @@
         id: RequestId,
         bytes: usize,
     ) {
-        self.queue_for(service, organisation, bytes).push_back((id, bytes));
+        self.queue_for_push(service, organisation, bytes).push_back((id, bytes));
     }
 
-    /// Puts a request that was tried already before all others.
+    /// Puts a request that was already sent at the head of its queue.
     pub fn push_front(
         &mut self,
         service: &Service,
@@ -57,11 +57,11 @@
         id: RequestId,
         bytes: usize,
     ) {
-        self.queue_for(service, organisation, bytes).push_front((id, bytes));
+        self.queue_for_push(service, organisation, bytes).push_front((id, bytes));
     }
 
-    /// Returns the queue that a request of `bytes` is about to join.
-    fn queue_for(
+    /// Returns the queue for a request of `bytes` and adds those to its size.
+    fn queue_for_push(
         &mut self,
         service: &Service,
         organisation: &Organisation,
@@ -72,7 +72,7 @@
         &mut queue.requests
     }
 
-    /// Takes the first request that `accepts` accepts.
+    /// Removes and returns the first request for which `accepts` returns true.
     pub fn take(
         &mut self,
         service: &Service,
@@ -81,8 +81,8 @@
     ) -> Option<RequestId> {
         let key = (service.clone(), organisation.clone());
         let queue = self.queues.get_mut(&key)?;
-        let place = queue.requests.iter().position(|(id, _)| accepts(*id))?;
-        let (id, bytes) = queue.requests.remove(place)?;
+        let index = queue.requests.iter().position(|(id, _)| accepts(*id))?;
+        let (id, bytes) = queue.requests.remove(index)?;
         queue.bytes -= bytes;
         if queue.requests.is_empty() {
             self.queues.remove(&key);
@@ -90,13 +90,13 @@
         Some(id)
     }
 
-    /// Returns how many of an organisation's requests wait.
+    /// Returns the number of an organisation's waiting requests.
     pub fn len(&self, service: &Service, organisation: &Organisation) -> usize {
         let key = (service.clone(), organisation.clone());
         self.queues.get(&key).map_or(0, |queue| queue.requests.len())
     }
 
-    /// Lists the organisations of a service with requests waiting, and how many.
+    /// Lists the organisations of a service with waiting requests, and their number.
     pub fn waiting(&self, service: &Service) -> impl Iterator<Item = (&Organisation, usize)> {
         let of_service = self.queues.iter().filter(move |((s, _), _)| s == service);
         of_service.map(|((_, organisation), queue)| (organisation, queue.requests.len()))
