--- a/src/kingcupgrade/coordination/entry/budget.rs
+++ b/src/kingcupgrade/coordination/entry/budget.rs
@@ -1,36 +1,36 @@
-//! A budget for retries, so that they can't multiply the load of a fleet in trouble.
+//! A retry budget, which keeps retries from multiplying the load of a fleet with failures.
 
-/// Retries earned by one request, in thousandths.
-const EARNED_PER_REQUEST: u32 = 100;
-/// The price of one retry, in thousandths.
-const PRICE: u32 = 1_000;
-/// Retries that can be saved up, in thousandths.
-const MOST: u32 = 20 * PRICE;
+/// Credit earned per request, in thousandths of a retry.
+const CREDIT_PER_REQUEST: u32 = 100;
+/// Cost of one retry, in thousandths of a retry.
+const RETRY_COST: u32 = 1_000;
+/// Maximum credit, in thousandths of a retry.
+const MAX_CREDIT: u32 = 20 * RETRY_COST;
 
 /// The retry budget of one service at one entry.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    saved: u32,
+    credit: u32,
 }
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
-        RetryBudget { saved: MOST }
+        RetryBudget { credit: MAX_CREDIT }
     }
 }
 
 impl RetryBudget {
-    /// Earns for a new request.
+    /// Adds the credit of a new request.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED_PER_REQUEST).min(MOST);
+        self.credit = (self.credit + CREDIT_PER_REQUEST).min(MAX_CREDIT);
     }
 
-    /// Spends one retry; returns false if none is left.
+    /// Spends the credit of one retry; returns false if there is too little.
     pub fn spend(&mut self) -> bool {
-        let affordable = self.saved >= PRICE;
-        if affordable {
-            self.saved -= PRICE;
+        let is_affordable = self.credit >= RETRY_COST;
+        if is_affordable {
+            self.credit -= RETRY_COST;
         }
-        affordable
+        is_affordable
     }
 }
