--- a/src/kingcupgrade/coordination/entry/attempts.rs
+++ b/src/kingcupgrade/coordination/entry/attempts.rs
@@ -1,7 +1,8 @@
-//! Grants, attempts at requests, and what follows when one fails.
+//! Use of grants, attempts to send requests, and retries.
 
 use super::{
-    AVOIDANCE, AttemptEnd, EntryMachine, EntryOutput, HeldGrant, MAX_ATTEMPTS, RequestId, Stage,
+    AttemptEnd, EntryMachine, EntryOutput, HeldGrant, MAX_ATTEMPTS, RequestId, Stage,
+    UPSTREAM_AVOIDANCE,
 };
 use crate::{
     coordination::{decision::Decision, view::View},
@@ -21,8 +22,8 @@
         grant: &Grant,
         out: &mut Vec<EntryOutput>,
     ) {
-        let barred = view.is_out(&pool.1) || view.is_leaving(&grant.upstream);
-        let next = if barred || self.is_unsure(now, view, pool) {
+        let is_excluded = view.is_out(&pool.1) || view.is_leaving(&grant.upstream);
+        let next = if is_excluded || self.is_unconfirmed(now, view, pool) {
             None
         } else {
             self.next_request(now, pool, grant)
@@ -47,12 +48,12 @@
         self.start(now, id, pool, grant, out);
     }
 
-    /// Takes the next request that may use the grant.
+    /// Takes the next request that may use the grant out of its queue.
     fn next_request(&mut self, now: Millis, pool: &Pool, grant: &Grant) -> Option<RequestId> {
         let requests = &self.requests;
         let accepts = |id: RequestId| {
-            let avoids = requests.get(&id).and_then(|request| request.avoid.as_ref());
-            !avoids.is_some_and(|(upstream, until)| *upstream == grant.upstream && now < *until)
+            let avoided = requests.get(&id).and_then(|request| request.avoid.as_ref());
+            !avoided.is_some_and(|(upstream, until)| *upstream == grant.upstream && now < *until)
         };
         self.queues.take(&pool.0, &grant.organisation, accepts)
     }
@@ -78,14 +79,15 @@
         }));
         request.attempts += 1;
         let state = self.services.entry(pool.0.clone()).or_default();
-        state.wait = Millis((state.wait.0 * 7 + waited.0) / 8);
+        state.average_wait = Millis((state.average_wait.0 * 7 + waited.0) / 8);
         let upstream = grant.upstream.clone();
         out.push(EntryOutput::Start { id, upstream, address: grant.address });
     }
 
     /// Handles the result of a claim: `Ok` to send the request, or the code to refuse it with.
     ///
-    /// Returns whether the claim is of no use any more and must be released: its request is gone.
+    /// Returns whether the claim succeeded but must be released, because its request is closed or
+    /// past its deadline.
     pub fn on_claimed(
         &mut self,
         now: Millis,
@@ -97,7 +99,8 @@
         let Stage::Claiming { pool, grant } = request.stage.clone() else { return false };
         match result {
             Ok(()) if now >= request.deadline => {
-                // Sent now, it could only time out, and its outcome would be unknown for nothing.
+                // If it were sent now, it would time out, and its outcome would needlessly be
+                // unknown.
                 self.end_grant(&pool, grant.id, Ending::Unused, 0, None);
                 self.give_up(id, Code::DeadlineQueued, out);
                 return true;
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Notes what a request has cost so far.
+    /// Records the cost of a request so far.
     pub fn on_progress(&mut self, id: RequestId, cost: u32) {
         let Some(request) = self.requests.get(&id) else { return };
         let Stage::Sent { pool, grant } = &request.stage else { return };
@@ -143,8 +146,8 @@
 
     /// Handles the end of an attempt.
     ///
-    /// The entry answers with nothing if the request is done, with [`EntryOutput::GiveUp`] if it
-    /// is given up, and otherwise has queued it for another attempt.
+    /// Outputs [`EntryOutput::GiveUp`] if the request has finally failed. A request that may be
+    /// retried is queued again, and any other one is closed without an output.
     pub fn on_attempt_end(
         &mut self,
         now: Millis,
@@ -185,13 +188,13 @@
 
     fn may_retry(&mut self, now: Millis, id: RequestId, end: AttemptEnd) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let surely_not_run = matches!(end, AttemptEnd::NotSent | AttemptEnd::Refused);
-        let repeatable = surely_not_run || request.idempotent;
-        let ended = matches!(end, AttemptEnd::TimedOut | AttemptEnd::BrokenForGood);
-        let has_time = now < request.deadline && !ended;
-        let in_bounds = request.attempts < MAX_ATTEMPTS;
+        let was_not_run = matches!(end, AttemptEnd::NotSent | AttemptEnd::Refused);
+        let may_repeat = was_not_run || request.idempotent;
+        let is_final = matches!(end, AttemptEnd::TimedOut | AttemptEnd::BrokenForGood);
+        let has_time = now < request.deadline && !is_final;
+        let has_attempts_left = request.attempts < MAX_ATTEMPTS;
         let state = self.services.entry(request.service.clone()).or_default();
-        repeatable && has_time && in_bounds && state.budget.spend()
+        may_repeat && has_time && has_attempts_left && state.budget.spend()
     }
 
     fn requeue(
@@ -203,7 +206,7 @@
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.stage = Stage::Queued;
-        request.avoid = upstream.clone().map(|upstream| (upstream, now + AVOIDANCE));
+        request.avoid = upstream.clone().map(|upstream| (upstream, now + UPSTREAM_AVOIDANCE));
         let (service, organisation) = (request.service.clone(), request.organisation.clone());
         self.queues.push_front(&service, &organisation, id, request.bytes);
         self.note_changed(&service, &organisation);
--- a/src/kingcupgrade/coordination/entry/mod.rs
+++ b/src/kingcupgrade/coordination/entry/mod.rs
@@ -1,13 +1,13 @@
-//! An entry's decisions: admit, queue, send, retry, give up.
+//! The state machine of an entry: admission, queueing, sending, retries and failure of requests.
 //!
-//! The entry never chooses an upstream. It tells dispatchers what waits and uses the slots they
-//! give; what it decides alone is what needs no knowledge of others: bounds, deadlines, whether a
-//! failed request may be tried again, and the exact outcome it reports to the caller.
+//! An entry never selects an upstream. It reports its waiting requests to dispatchers and uses the
+//! slots they grant. It decides only what needs no knowledge of other instances: queue limits,
+//! deadlines, whether a failed request may be retried, and the outcome reported to the caller.
 
 mod attempts;
 mod budget;
+mod pool_session;
 mod queue;
-mod session;
 mod sessions;
 
 use std::{
@@ -15,7 +15,7 @@
     net::SocketAddr,
 };
 
-use self::{budget::RetryBudget, queue::Queues, session::PoolSession};
+use self::{budget::RetryBudget, pool_session::PoolSession, queue::Queues};
 use super::{decision::Decision, view::View};
 use crate::{
     core::{Code, Document, FailureDomain, Instance, Millis, Organisation, Service, UpstreamName},
@@ -25,38 +25,39 @@
     },
 };
 
-/// Times a request is sent at most.
+/// Maximum number of times a request is sent.
 const MAX_ATTEMPTS: u32 = 4;
-/// An offer of another failure domain's dispatcher counts for this long.
+/// How long an offer of slots in another failure domain is valid.
 const OFFER_TTL: Millis = Millis(2_000);
-/// A session with nothing waiting or held is closed after this time.
-const IDLE_CLOSE: Millis = Millis(5_000);
-/// The shortest time after which a refused caller is told to come back.
+/// A session is closed after this time without grants in use or open requests of its service.
+const SESSION_IDLE_TIMEOUT: Millis = Millis(5_000);
+/// Lower bound of the retry delay reported to a refused caller.
 const MIN_RETRY_AFTER: Millis = Millis(1_000);
-/// The longest such time.
+/// Upper bound of that delay.
 const MAX_RETRY_AFTER: Millis = Millis(30_000);
-/// How long a failed upstream is avoided for the request it failed.
-const AVOIDANCE: Millis = Millis(2_000);
-/// How long the home pool may be without dispatcher before demand goes to other domains.
-const HOME_PATIENCE: Millis = Millis(3_000);
+/// How long a request is not sent again to the upstream that failed it.
+const UPSTREAM_AVOIDANCE: Millis = Millis(2_000);
+/// How long the pool of this failure domain may have no dispatcher before demand goes to other
+/// failure domains.
+const NO_DISPATCHER_TIMEOUT: Millis = Millis(3_000);
 
-/// Names a request within this process.
+/// Identifies a request within this process.
 pub type RequestId = u64;
 
-/// A request as it arrives.
+/// A newly received request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its name.
+    /// The request's ID.
     pub id: RequestId,
-    /// The service called.
+    /// The called service.
     pub service: Service,
-    /// The organisation that calls.
+    /// The calling organisation.
     pub organisation: Organisation,
-    /// The size of its body.
+    /// The size of the request body, in bytes.
     pub bytes: usize,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether a request key must be claimed before it is sent.
+    /// Whether its request key must be claimed before it is sent.
     pub needs_claim: bool,
 }
 
@@ -67,24 +68,24 @@
     Completed,
     /// No connection was made, so nothing was sent.
     NotSent,
-    /// The upstream said that it did not run the request.
+    /// The upstream reported that it did not run the request.
     Refused,
     /// The request was sent, and its answer is missing or incomplete.
     Broken,
-    /// The same, and a part of the answer that can't be resumed has reached the caller.
+    /// Like `Broken`, but part of an answer that can't be resumed has already reached the caller.
     BrokenForGood,
     /// The deadline passed after the request was sent.
     TimedOut,
-    /// The caller hung up.
+    /// The caller disconnected.
     HungUp,
 }
 
-/// What the entry wants done.
+/// An action requested by the entry.
 #[derive(Clone, Debug)]
 pub enum EntryOutput {
     /// Send a message to an instance.
     Send(Instance, DispatchMessage),
-    /// Claim the request's key; the claim's result comes back as [`EntryMachine::on_claimed`].
+    /// Claim the request's key and pass the result to [`EntryMachine::on_claimed`].
     Claim(RequestId),
     /// Send the request to an upstream.
     Start {
@@ -92,16 +93,16 @@
         id: RequestId,
         /// The upstream.
         upstream: UpstreamName,
-        /// Where it listens.
+        /// The address it listens on.
         address: SocketAddr,
     },
-    /// Give the caller its final answer: the request is given up.
+    /// Answer the caller with an error, since the request has finally failed.
     GiveUp {
         /// The request.
         id: RequestId,
-        /// Why.
+        /// The reason.
         code: Code,
-        /// When to come back.
+        /// How long the caller should wait before it retries.
         retry_after: Millis,
     },
     /// Log a decision.
@@ -140,17 +141,17 @@
 #[derive(Clone, Debug, Default)]
 struct ServiceState {
     budget: RetryBudget,
-    /// Smoothed time between arrival and sending.
-    wait: Millis,
-    /// When the home pool was first found without a dispatcher.
-    homeless_since: Option<Millis>,
+    /// Moving average of the time between arrival and sending.
+    average_wait: Millis,
+    /// Since when the pool of this failure domain has had no dispatcher, if it has none.
+    no_dispatcher_since: Option<Millis>,
 }
 
 /// The state of one entry.
 #[derive(Clone, Debug)]
 pub struct EntryMachine {
     domain: FailureDomain,
-    /// Tells this process from earlier ones of the same name.
+    /// Distinguishes this process from earlier ones of the same instance.
     incarnation: u64,
     next_session: u64,
     requests: BTreeMap<RequestId, Request>,
@@ -159,13 +160,13 @@
     sessions: BTreeMap<Pool, PoolSession>,
     held: BTreeMap<(Pool, GrantId), HeldGrant>,
     services: BTreeMap<Service, ServiceState>,
-    /// Open requests of each service; looked up with every tick.
-    open: BTreeMap<Service, usize>,
+    /// Number of open requests per service, cached because every tick needs it.
+    open_by_service: BTreeMap<Service, usize>,
     draining: bool,
 }
 
 impl EntryMachine {
-    /// Makes the machine of an entry; `incarnation` grows with each start of the instance.
+    /// Creates the state of an entry; `incarnation` increases with every start of the instance.
     pub fn new(domain: FailureDomain, incarnation: u64) -> EntryMachine {
         EntryMachine {
             domain,
@@ -177,7 +178,7 @@
             sessions: BTreeMap::new(),
             held: BTreeMap::new(),
             services: BTreeMap::new(),
-            open: BTreeMap::new(),
+            open_by_service: BTreeMap::new(),
             draining: false,
         }
     }
@@ -187,40 +188,40 @@
         self.draining = true;
     }
 
-    /// Returns how many requests are open.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Lists the services of which requests run here under a static share.
+    /// Lists the services with requests running here under a static share.
     pub fn shared_services(&self) -> Vec<Service> {
         let shared = self.held.keys().filter(|(_, id)| id.is_static());
         let services: BTreeSet<&Service> = shared.map(|(pool, _)| &pool.0).collect();
         services.into_iter().cloned().collect()
     }
 
-    /// Tells whether a request is open.
+    /// Returns whether a request is open.
     pub fn is_open(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
-    /// Lists the services of which requests are open here.
+    /// Lists the services with open requests here.
     pub fn active_services(&self) -> impl Iterator<Item = &Service> {
-        self.open.keys()
+        self.open_by_service.keys()
     }
 
-    /// Tells whether any request of `service` is open here.
+    /// Returns whether any request of `service` is open here.
     pub fn is_active(&self, service: &Service) -> bool {
-        self.open.contains_key(service)
+        self.open_by_service.contains_key(service)
     }
 
-    /// Tells whether a grant of the pool is in use here.
+    /// Returns whether a grant of the pool is in use here.
     fn holds(&self, pool: &Pool) -> bool {
         let first = (pool.clone(), GrantId(0, 0));
         self.held.range(first..).next().is_some_and(|((held, _), _)| held == pool)
     }
 
-    /// Admits a request or refuses it.
+    /// Queues a request or refuses it.
     pub fn arrive(
         &mut self,
         now: Millis,
@@ -252,7 +253,7 @@
         self.services.entry(service.clone()).or_default().budget.earn();
         self.deadlines.insert((request.deadline, id));
         self.requests.insert(id, request);
-        *self.open.entry(service.clone()).or_default() += 1;
+        *self.open_by_service.entry(service.clone()).or_default() += 1;
         self.queues.push_back(&service, &organisation, id, bytes);
         self.note_changed(&service, &organisation);
     }
@@ -275,9 +276,9 @@
         out.push(EntryOutput::GiveUp { id, code, retry_after });
     }
 
-    /// Returns when a refused caller should come back: after the time requests wait at present.
+    /// Returns how long a refused caller should wait: as long as requests currently wait here.
     fn retry_after(&self, service: &Service) -> Millis {
-        let wait = self.services.get(service).map_or(Millis::ZERO, |state| state.wait);
+        let wait = self.services.get(service).map_or(Millis::ZERO, |state| state.average_wait);
         wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
@@ -290,12 +291,12 @@
         message: &DispatchMessage,
         out: &mut Vec<EntryOutput>,
     ) {
-        self.refuse_stray(from, message, out);
+        self.close_unknown_session(from, message, out);
         match &message.body {
             DispatchBody::Grants { session, heard, grants } => {
-                let Some(state) = self.current(&message.pool, *session) else { return };
+                let Some(state) = self.current_session(&message.pool, *session) else { return };
                 if !state.may_use_grants(now, *heard) {
-                    self.reopen(now, &message.pool, out);
+                    self.reopen_session(now, &message.pool, out);
                     return;
                 }
                 state.holder.clone_from(from);
@@ -305,16 +306,16 @@
                 }
             }
             DispatchBody::Ack { session, granted, offers } => {
-                let Some(state) = self.current(&message.pool, *session) else { return };
+                let Some(state) = self.current_session(&message.pool, *session) else { return };
                 if !state.on_ack(now, *granted) {
-                    self.reopen(now, &message.pool, out);
+                    self.reopen_session(now, &message.pool, out);
                 }
                 self.on_offers(now, view, &message.pool, offers, out);
             }
             DispatchBody::Resync => {
                 let known = self.sessions.get(&message.pool);
                 if known.is_some_and(|s| s.holder == *from) {
-                    self.reopen(now, &message.pool, out);
+                    self.reopen_session(now, &message.pool, out);
                 }
             }
             _ => {}
@@ -330,10 +331,10 @@
     fn remove(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.deadlines.remove(&(request.deadline, id));
-        if let Some(count) = self.open.get_mut(&request.service) {
+        if let Some(count) = self.open_by_service.get_mut(&request.service) {
             *count -= 1;
             if *count == 0 {
-                self.open.remove(&request.service);
+                self.open_by_service.remove(&request.service);
             }
         }
         let Request { service, organisation, .. } = &request;
@@ -344,7 +345,7 @@
         Some(request)
     }
 
-    /// Forgets a request whose caller has hung up or was answered without sending it.
+    /// Removes a request whose caller has disconnected or was answered without sending it.
     pub fn on_hang_up(&mut self, id: RequestId) {
         let Some(request) = self.remove(id) else { return };
         match request.stage {
@@ -358,33 +359,34 @@
         }
     }
 
-    /// Notes whether the pool of this failure domain has a dispatcher; returns whether it has
-    /// been without one for so long that demand should go elsewhere.
+    /// Records whether the pool of this failure domain has a dispatcher.
+    ///
+    /// Returns whether it has had none for so long that demand should go to other failure domains.
     pub fn note_home(&mut self, now: Millis, service: &Service, has_dispatcher: bool) -> bool {
         let state = self.services.entry(service.clone()).or_default();
         if has_dispatcher {
-            state.homeless_since = None;
+            state.no_dispatcher_since = None;
             return false;
         }
-        let since = *state.homeless_since.get_or_insert(now);
-        now.since(since) >= HOME_PATIENCE
+        let since = *state.no_dispatcher_since.get_or_insert(now);
+        now.since(since) >= NO_DISPATCHER_TIMEOUT
     }
 
-    /// Handles the passing of time.
+    /// Runs the periodic work.
     pub fn tick(&mut self, now: Millis, view: &View, out: &mut Vec<EntryOutput>) {
-        self.drop_overdue(now, out);
-        self.keep_sessions(now, view, out);
+        self.expire_queued(now, out);
+        self.maintain_sessions(now, view, out);
         self.report(now, out);
     }
 
-    fn drop_overdue(&mut self, now: Millis, out: &mut Vec<EntryOutput>) {
+    fn expire_queued(&mut self, now: Millis, out: &mut Vec<EntryOutput>) {
         while let Some((deadline, id)) = self.deadlines.first().copied() {
             if deadline > now {
                 break;
             }
             self.deadlines.remove(&(deadline, id));
             let Some(request) = self.requests.get(&id) else { continue };
-            // A request already sent has its own timeout at its connection.
+            // The timeout of a request already sent is enforced by its connection.
             if matches!(request.stage, Stage::Queued) {
                 self.give_up(id, Code::DeadlineQueued, out);
             }
--- a/src/kingcupgrade/coordination/entry/pool_session.rs
+++ b/src/kingcupgrade/coordination/entry/pool_session.rs
@@ -1,4 +1,4 @@
-//! The entry's side of a session with a dispatcher.
+//! The entry's state of a session with a dispatcher.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,60 +11,60 @@
     },
 };
 
-/// A session that says nothing for this long sends an empty report.
-const HEARTBEAT: Millis = Millis(1_000);
-/// A session not acknowledged for this long is opened anew.
-const ACK_SILENCE: Millis = Millis(2_200);
-/// News that may free or fill a slot is gathered for this long before it is reported.
-const GATHERING: Millis = Millis(5);
-/// Other counts are gathered for this long. What requests have cost so far goes with the next
-/// report, whenever that is: a dispatcher decides no better for hearing of it sooner.
-const LAZY_GATHERING: Millis = Millis(100);
-/// While the dispatcher believes that at least so many requests of an organisation wait, the
-/// exact count changes none of its decisions.
-const ENOUGH: u32 = 4;
-/// Grants are used up to this much before the dispatcher would give up the session; the time a
-/// request may take on its way to the upstream.
+/// A report is sent after this time even if there is nothing to report.
+const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
+/// A session that is not acknowledged for this long is opened again.
+const ACK_TIMEOUT: Millis = Millis(2_200);
+/// Delay, for batching, of reports about changes that may free or fill a slot.
+const REPORT_DELAY: Millis = Millis(5);
+/// Delay of reports about other counts. The cost of running requests is sent with the next report,
+/// whenever that is, since a dispatcher's decisions do not improve if it learns the cost earlier.
+const DEFERRED_REPORT_DELAY: Millis = Millis(100);
+/// While the dispatcher assumes that at least this many requests of an organisation wait, the exact
+/// count does not affect its decisions.
+const SUFFICIENT_BACKLOG: u32 = 4;
+/// Grants are not used in the last part of the session timeout, this long, since a request may take
+/// as long to reach the upstream.
 const GRANT_MARGIN: Millis = Millis(700);
-/// Grants of a session that are remembered, far more than can be under way.
-const REMEMBERED_GRANTS: usize = 4_096;
+/// Number of grant IDs remembered per session, far more than can be in transit.
+const MAX_RECEIVED_GRANTS: usize = 4_096;
 
 /// A session with the dispatcher of one pool.
 #[derive(Clone, Debug)]
 pub struct PoolSession {
     /// The pool.
     pub pool: Pool,
-    /// The instance believed to hold its lease.
+    /// The presumed holder of the pool's lease.
     pub holder: Instance,
-    /// The term of the lease, zero where unknown.
+    /// The term of the lease, zero if unknown.
     pub term: u64,
     /// The session.
     pub session: Session,
-    /// Until when it is wanted; `None` for the pool of this failure domain.
+    /// Until when the session is needed; `None` for the pool of this failure domain.
     pub wanted_until: Option<Millis>,
-    /// When a request of the service last waited or ran here.
-    pub active: Millis,
-    /// Whether its pool may get nothing new at present, so that no demand is reported.
-    pub muted: bool,
+    /// When a request of the service was last open here.
+    pub last_active: Millis,
+    /// Whether no demand is reported because the pool may get no new requests at present.
+    pub demand_suspended: bool,
     seq: u64,
     received: u64,
-    /// The newest grants received.
-    recent: BTreeSet<GrantId>,
-    acked: Millis,
-    sent: Millis,
-    /// When the newest reports were sent; the opening counts as report zero.
-    sent_at: BTreeMap<u64, Millis>,
+    /// IDs of the received grants, used to detect duplicates.
+    received_grants: BTreeSet<GrantId>,
+    acked_at: Millis,
+    last_report: Millis,
+    /// When the most recent reports were sent, by sequence number; the opening message is number 0.
+    report_times: BTreeMap<u64, Millis>,
     changed: BTreeSet<Organisation>,
-    /// The counts as last reported, less the grants received since.
-    believed: BTreeMap<Organisation, u32>,
-    /// Whether a change may matter to the dispatcher at once.
+    /// Waiting requests as last reported, less the grants received since.
+    reported: BTreeMap<Organisation, u32>,
+    /// Whether a change may affect the dispatcher's decisions, so that it is reported soon.
     is_urgent: bool,
     finished: Vec<Finished>,
     progress: BTreeMap<GrantId, u32>,
 }
 
 impl PoolSession {
-    /// Makes a session that is about to be opened.
+    /// Creates a session that is about to be opened.
     pub fn new(
         now: Millis,
         pool: Pool,
@@ -79,16 +79,16 @@
             term,
             session,
             wanted_until,
-            active: now,
-            muted: false,
+            last_active: now,
+            demand_suspended: false,
             seq: 0,
             received: 0,
-            recent: BTreeSet::new(),
-            acked: now,
-            sent: now,
-            sent_at: BTreeMap::from([(0, now)]),
+            received_grants: BTreeSet::new(),
+            acked_at: now,
+            last_report: now,
+            report_times: BTreeMap::from([(0, now)]),
             changed: BTreeSet::new(),
-            believed: BTreeMap::new(),
+            reported: BTreeMap::new(),
             is_urgent: false,
             finished: Vec::new(),
             progress: BTreeMap::new(),
@@ -97,87 +97,91 @@
 
     /// Returns the opening message.
     pub fn open(&mut self, waiting: Vec<Waiting>, held: Vec<Held>) -> DispatchBody {
-        self.believed = waiting.iter().map(|w| (w.0.clone(), w.1)).collect();
+        self.reported = waiting.iter().map(|w| (w.0.clone(), w.1)).collect();
         DispatchBody::Open { session: self.session, waiting, held }
     }
 
-    /// Notes that an organisation's count may have changed, and to what.
+    /// Records that an organisation's number of waiting requests may have changed to `count`.
     pub fn note_changed(&mut self, organisation: &Organisation, count: u32) {
-        let believed = self.believed.get(organisation).copied().unwrap_or(0);
-        if count == believed && !self.muted {
-            // The dispatcher subtracts what it grants, as is done here when a grant comes.
+        let reported = self.reported.get(organisation).copied().unwrap_or(0);
+        if count == reported && !self.demand_suspended {
+            // The dispatcher subtracts its grants from the count, as `note_received` does here.
             self.changed.remove(organisation);
             return;
         }
-        self.is_urgent |= believed < ENOUGH && count > believed;
+        self.is_urgent |= reported < SUFFICIENT_BACKLOG && count > reported;
         self.changed.insert(organisation.clone());
     }
 
-    /// Notes that a grant's use has ended.
+    /// Records that a grant is no longer in use.
     pub fn note_finished(&mut self, finished: Finished) {
         self.progress.remove(&finished.id);
         self.finished.push(finished);
     }
 
-    /// Notes what a grant has cost so far.
+    /// Records the cost of a grant so far.
     pub fn note_progress(&mut self, id: GrantId, cost: u32) {
         self.progress.insert(id, cost);
     }
 
-    /// Tells whether grants may be used that were given by a dispatcher which had received the
-    /// report `heard`.
+    /// Returns whether grants may be used if report `heard` was the last that the dispatcher had
+    /// received when it issued them.
     ///
-    /// A dispatcher that hears nothing for a while gives the slots to others. An entry that was
-    /// stopped, or whose messages were held up, would use the same slots when it comes to itself,
-    /// and a cold upstream would get twice what it bears. What the dispatcher has heard was sent
-    /// at a time this clock knows, and the dispatcher can't have given up before that time's end.
+    /// A dispatcher that receives nothing for the session timeout may grant the slots to other
+    /// entries. An entry that was stopped, or whose messages were delayed, would use the same slots
+    /// when it resumes, and a cold upstream would get twice the load it can handle. The time at
+    /// which the report was sent is known on this entry's clock, and the dispatcher can't have
+    /// ended the session before the timeout has passed since then.
     pub fn may_use_grants(&self, now: Millis, heard: u64) -> bool {
-        let sent = self.sent_at.get(&heard);
+        let sent = self.report_times.get(&heard);
         sent.is_some_and(|sent| now.since(*sent) + GRANT_MARGIN < SESSION_SILENCE)
     }
 
-    /// Notes a received grant; returns false if it was received before.
+    /// Records a received grant; returns false if it was received before.
     ///
-    /// A message may arrive twice. Used twice, its grants would run two requests in one slot.
+    /// A message may arrive twice. If its grants were used twice, two requests would run in one
+    /// slot.
     pub fn note_received(&mut self, now: Millis, grant: &Grant) -> bool {
-        self.acked = now;
-        if !self.recent.insert(grant.id) {
+        self.acked_at = now;
+        if !self.received_grants.insert(grant.id) {
             return false;
         }
-        if self.recent.len() > REMEMBERED_GRANTS {
-            self.recent.pop_first();
+        if self.received_grants.len() > MAX_RECEIVED_GRANTS {
+            self.received_grants.pop_first();
         }
         self.received += 1;
-        if let Some(believed) = self.believed.get_mut(&grant.organisation) {
-            *believed = believed.saturating_sub(1);
+        if let Some(reported) = self.reported.get_mut(&grant.organisation) {
+            *reported = reported.saturating_sub(1);
         }
         true
     }
 
-    /// Notes an acknowledgement; returns false if it shows that grants were lost.
+    /// Records an acknowledgement; returns false if it shows that grants were lost.
     pub fn on_ack(&mut self, now: Millis, granted: u64) -> bool {
-        self.acked = now;
+        self.acked_at = now;
         granted <= self.received
     }
 
-    /// Tells whether the dispatcher has not been heard for too long.
+    /// Returns whether nothing was received from the dispatcher for too long.
     pub fn is_stale(&self, now: Millis) -> bool {
-        now.since(self.acked) > ACK_SILENCE
+        now.since(self.acked_at) > ACK_TIMEOUT
     }
 
-    /// Returns when the next report is due, if nothing else happens.
+    /// Returns when the next report is due, unless something changes before.
     pub fn next_report(&self) -> Millis {
-        let gathering = if self.is_urgent || !self.finished.is_empty() {
-            GATHERING
+        let delay = if self.is_urgent || !self.finished.is_empty() {
+            REPORT_DELAY
         } else if !self.changed.is_empty() {
-            LAZY_GATHERING
+            DEFERRED_REPORT_DELAY
         } else {
-            HEARTBEAT
+            HEARTBEAT_INTERVAL
         };
-        self.sent + gathering
+        self.last_report + delay
     }
 
-    /// Returns the report due now, if one is; `waiting` tells an organisation's present count.
+    /// Returns the report that is due now, if any.
+    ///
+    /// `waiting` returns an organisation's current number of waiting requests.
     pub fn report(
         &mut self,
         now: Millis,
@@ -186,10 +190,10 @@
         if now < self.next_report() {
             return None;
         }
-        self.sent = now;
+        self.last_report = now;
         self.seq += 1;
-        self.sent_at.retain(|_, sent| now.since(*sent) < SESSION_SILENCE);
-        self.sent_at.insert(self.seq, now);
+        self.report_times.retain(|_, sent| now.since(*sent) < SESSION_SILENCE);
+        self.report_times.insert(self.seq, now);
         self.is_urgent = false;
         Some(DispatchBody::Report {
             session: self.session.tag(),
@@ -201,17 +205,17 @@
         })
     }
 
-    /// Takes the counts that changed.
+    /// Takes the changed counts, all zero while demand is suspended.
     fn changed_counts(&mut self, waiting: impl Fn(&Organisation) -> u32) -> Vec<Waiting> {
         let changed = std::mem::take(&mut self.changed);
-        let muted = self.muted;
+        let suspended = self.demand_suspended;
         let counts = changed.into_iter().map(|organisation| {
-            let count = if muted { 0 } else { waiting(&organisation) };
+            let count = if suspended { 0 } else { waiting(&organisation) };
             Waiting(organisation, count)
         });
         let counts: Vec<Waiting> = counts.collect();
-        self.believed.extend(counts.iter().map(|w| (w.0.clone(), w.1)));
-        self.believed.retain(|_, count| *count > 0);
+        self.reported.extend(counts.iter().map(|w| (w.0.clone(), w.1)));
+        self.reported.retain(|_, count| *count > 0);
         counts
     }
 }
--- a/src/kingcupgrade/coordination/entry/sessions.rs
+++ b/src/kingcupgrade/coordination/entry/sessions.rs
@@ -1,8 +1,8 @@
-//! The entry's sessions with dispatchers: opened, kept, reported in and closed.
+//! Management of the entry's sessions with dispatchers.
 
-use super::{EntryMachine, EntryOutput, HeldGrant, IDLE_CLOSE, OFFER_TTL};
+use super::{EntryMachine, EntryOutput, HeldGrant, OFFER_TTL, SESSION_IDLE_TIMEOUT};
 use crate::{
-    coordination::{entry::session::PoolSession, view::View},
+    coordination::{entry::pool_session::PoolSession, view::View},
     core::{Instance, Millis, Organisation, Service},
     protocol::{
         Pool,
@@ -13,11 +13,12 @@
 };
 
 impl EntryMachine {
-    /// Closes a session that a dispatcher believes in and this entry does not.
+    /// Closes a session that the dispatcher considers open but this entry does not.
     ///
-    /// The end of a session may overtake its beginning, which another instance has passed on. The
-    /// dispatcher would then give slots to nobody until it takes the entry for dead.
-    pub(super) fn refuse_stray(
+    /// The opening message may be forwarded by another instance, and the closing message may
+    /// overtake it. The dispatcher would then grant slots that nobody uses until the session times
+    /// out.
+    pub(super) fn close_unknown_session(
         &self,
         from: &Instance,
         message: &DispatchMessage,
@@ -38,9 +39,13 @@
 
     /// Returns the session with a pool if `session` is the current one.
     ///
-    /// A grant of an earlier session may come from a dispatcher whose lease has passed on. The new
-    /// holder was not told of it and would give the slot a second time.
-    pub(super) fn current(&mut self, pool: &Pool, session: SessionTag) -> Option<&mut PoolSession> {
+    /// A grant of an earlier session may come from a dispatcher that has lost its lease. The new
+    /// holder does not know of that grant and would grant the same slot again.
+    pub(super) fn current_session(
+        &mut self,
+        pool: &Pool,
+        session: SessionTag,
+    ) -> Option<&mut PoolSession> {
         self.sessions.get_mut(pool).filter(|state| state.session.tag() == session)
     }
 
@@ -61,7 +66,7 @@
         }
     }
 
-    /// Makes sure of a session with `holder`, opening one if there is none or another holder.
+    /// Opens a session with `holder` unless one with the same holder and term exists.
     pub fn want_session(
         &mut self,
         now: Millis,
@@ -77,10 +82,10 @@
                 return;
             }
         }
-        self.open(now, pool, holder.clone(), term, wanted_until, out);
+        self.open_session(now, pool, holder.clone(), term, wanted_until, out);
     }
 
-    pub(super) fn open(
+    pub(super) fn open_session(
         &mut self,
         now: Millis,
         pool: Pool,
@@ -98,10 +103,10 @@
         self.send(&holder, pool, term, body, out);
     }
 
-    pub(super) fn reopen(&mut self, now: Millis, pool: &Pool, out: &mut Vec<EntryOutput>) {
+    pub(super) fn reopen_session(&mut self, now: Millis, pool: &Pool, out: &mut Vec<EntryOutput>) {
         let Some(known) = self.sessions.get(pool) else { return };
         let (holder, term, wanted_until) = (known.holder.clone(), known.term, known.wanted_until);
-        self.open(now, pool.clone(), holder, term, wanted_until, out);
+        self.open_session(now, pool.clone(), holder, term, wanted_until, out);
     }
 
     pub(super) fn send(
@@ -141,44 +146,53 @@
         }
     }
 
-    pub(super) fn keep_sessions(&mut self, now: Millis, view: &View, out: &mut Vec<EntryOutput>) {
+    pub(super) fn maintain_sessions(
+        &mut self,
+        now: Millis,
+        view: &View,
+        out: &mut Vec<EntryOutput>,
+    ) {
         let pools: Vec<Pool> = self.sessions.keys().cloned().collect();
         for pool in pools {
             let holds = self.holds(&pool);
             let is_active = self.is_active(&pool.0);
-            let unsure = self.is_unsure(now, view, &pool);
-            self.mute(&pool, unsure);
+            let unconfirmed = self.is_unconfirmed(now, view, &pool);
+            self.set_demand_suspended(&pool, unconfirmed);
             let Some(state) = self.sessions.get_mut(&pool) else { continue };
             if is_active {
-                state.active = now;
+                state.last_active = now;
             }
             let unwanted = state.wanted_until.is_some_and(|until| now > until);
-            let idle = now.since(state.active) > IDLE_CLOSE;
-            if !holds && (unwanted || unsure || idle) {
+            let idle = now.since(state.last_active) > SESSION_IDLE_TIMEOUT;
+            if !holds && (unwanted || unconfirmed || idle) {
                 self.close(&pool, out);
             } else if state.is_stale(now) {
-                // The dispatcher or the connection to it may be gone for good; opening again
-                // tells it everything, and works with a successor as well.
-                self.reopen(now, &pool, out);
+                // The dispatcher or the connection to it may be lost. A new session reports the
+                // whole state, so it works with a successor too.
+                self.reopen_session(now, &pool, out);
             }
         }
     }
 
-    /// Tells whether a pool is in another failure domain whose standing is not confirmed of late.
-    pub(super) fn is_unsure(&self, now: Millis, view: &View, pool: &Pool) -> bool {
+    /// Returns whether a pool is in another failure domain while the configuration has not been
+    /// confirmed recently.
+    pub(super) fn is_unconfirmed(&self, now: Millis, view: &View, pool: &Pool) -> bool {
         pool.1 != self.domain && !view.is_fresh(now)
     }
 
-    /// Withdraws the demand from a pool that may get nothing new, or reports it again.
-    fn mute(&mut self, pool: &Pool, muted: bool) {
-        let Some(state) = self.sessions.get_mut(pool).filter(|s| s.muted != muted) else { return };
-        state.muted = muted;
+    /// Withdraws the demand from a pool that may get no new requests, or reports it again.
+    fn set_demand_suspended(&mut self, pool: &Pool, suspended: bool) {
+        let Some(state) = self.sessions.get_mut(pool).filter(|s| s.demand_suspended != suspended)
+        else {
+            return;
+        };
+        state.demand_suspended = suspended;
         for (organisation, _) in self.queues.waiting(&pool.0) {
             state.note_changed(organisation, 0);
         }
     }
 
-    /// Returns when the next report is due, if nothing else happens.
+    /// Returns when the next report is due, unless something changes before.
     pub fn next_report(&self) -> Option<Millis> {
         self.sessions.values().map(PoolSession::next_report).min()
     }
@@ -198,7 +212,7 @@
         }
     }
 
-    /// Returns the sessions open now, for the status page.
+    /// Returns the pools with an open session and the dispatcher of each.
     pub fn session_pools(&self) -> impl Iterator<Item = (&Pool, &Instance)> {
         self.sessions.iter().map(|(pool, session)| (pool, &session.holder))
     }
