--- a/src/kingcupgrade/coordination/dispatcher/mod.rs
+++ b/src/kingcupgrade/coordination/dispatcher/mod.rs
@@ -38,7 +38,7 @@
 /// How long a new dispatcher waits for entries to open their sessions before it grants slots.
 pub const RECOVERY_PERIOD: Millis = Millis(400);
 /// An entry that sends nothing for this long is considered dead or partitioned.
-pub const SESSION_SILENCE: Millis = Millis(3_000);
+pub const SESSION_TIMEOUT: Millis = Millis(3_000);
 /// A refused connection is ignored if the process was heard from within this time: the dial may
 /// have begun before the process started.
 const DIAL_FAILURE_GRACE: Millis = Millis(300);
--- a/src/kingcupgrade/coordination/dispatcher/recovery.rs
+++ b/src/kingcupgrade/coordination/dispatcher/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{DIAL_FAILURE_GRACE, Dispatcher, OutstandingGrant, SESSION_SILENCE};
+use super::{DIAL_FAILURE_GRACE, Dispatcher, OutstandingGrant, SESSION_TIMEOUT};
 use crate::{
     core::{Instance, Millis},
     protocol::dispatch::{GrantId, Held, Session, SessionTag, Waiting},
@@ -87,7 +87,7 @@
     /// Their requests may still be running, so their slots stay occupied until a load report or the
     /// deadline shows them free. Otherwise the upstream would be overcommitted by those requests.
     pub(super) fn drop_silent_entries(&mut self, now: Millis) {
-        for entry in self.demand.silent(now, SESSION_SILENCE) {
+        for entry in self.demand.silent(now, SESSION_TIMEOUT) {
             let until = now + self.longest_run();
             for grant in self.end_session(now, &entry) {
                 if let Some(slots) = self.slots.get_mut(&grant.upstream) {
@@ -127,7 +127,7 @@
         self.reserved.clear();
         let may_use_share = |i: &Instance| {
             let is_excluded = *i == self.instance || self.terminated.contains(i);
-            !is_excluded && !self.demand.was_heard(now, i, SESSION_SILENCE)
+            !is_excluded && !self.demand.was_heard(now, i, SESSION_TIMEOUT)
         };
         if !self.local_entries.iter().any(may_use_share) {
             return;
--- a/src/kingcupgrade/coordination/entry/pool_session.rs
+++ b/src/kingcupgrade/coordination/entry/pool_session.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{
-    coordination::dispatcher::SESSION_SILENCE,
+    coordination::dispatcher::SESSION_TIMEOUT,
     core::{Instance, Millis, Organisation},
     protocol::{
         Pool,
@@ -23,8 +23,8 @@
 /// While the dispatcher assumes that at least this many requests of an organisation wait, the exact
 /// count does not affect its decisions.
 const SUFFICIENT_BACKLOG: u32 = 4;
-/// Grants are not used in the last part of the session timeout, this long, since a request may take
-/// as long to reach the upstream.
+/// Grants are used only until this long before the dispatcher would end the session, which allows for
+/// the time that a request takes to reach the upstream.
 const GRANT_MARGIN: Millis = Millis(700);
 /// Number of grant IDs remembered per session, far more than can be in transit.
 const MAX_RECEIVED_GRANTS: usize = 4_096;
@@ -134,7 +134,7 @@
     /// ended the session before the timeout has passed since then.
     pub fn may_use_grants(&self, now: Millis, heard: u64) -> bool {
         let sent = self.report_times.get(&heard);
-        sent.is_some_and(|sent| now.since(*sent) + GRANT_MARGIN < SESSION_SILENCE)
+        sent.is_some_and(|sent| now.since(*sent) + GRANT_MARGIN < SESSION_TIMEOUT)
     }
 
     /// Records a received grant; returns false if it was received before.
@@ -192,7 +192,7 @@
         }
         self.last_report = now;
         self.seq += 1;
-        self.report_times.retain(|_, sent| now.since(*sent) < SESSION_SILENCE);
+        self.report_times.retain(|_, sent| now.since(*sent) < SESSION_TIMEOUT);
         self.report_times.insert(self.seq, now);
         self.is_urgent = false;
         Some(DispatchBody::Report {
