--- a/src/kingcupgrade/coordination/lease/messages.rs
+++ b/src/kingcupgrade/coordination/lease/messages.rs
@@ -1,6 +1,6 @@
 //! Handling of lease messages: requests, replies, announcements and releases.
 
-use super::{CLOCK_MARGIN, Holder, LEASE, Lease, LeaseBook, LeaseOutput, Vote};
+use super::{CLOCK_MARGIN, Holder, LEASE_DURATION, Lease, LeaseBook, LeaseOutput, Vote};
 use crate::{
     core::{Instance, Millis, Service},
     protocol::lease::{Claim, LeaseMessage},
@@ -43,7 +43,7 @@
         claims: &[Claim],
         out: &mut Vec<LeaseOutput>,
     ) {
-        let may_have_lost_votes = now.since(self.started) < LEASE;
+        let may_have_lost_votes = now.since(self.started) < LEASE_DURATION;
         if may_have_lost_votes || !self.voters.contains(&self.instance) {
             return;
         }
@@ -55,7 +55,8 @@
                     refused.push(Claim(service.clone(), vote.term));
                 }
                 _ => {
-                    let vote = Vote { term: *term, holder: from.clone(), until: now + LEASE };
+                    let vote =
+                        Vote { term: *term, holder: from.clone(), until: now + LEASE_DURATION };
                     self.votes.insert(service.clone(), vote);
                     self.note_term(service, *term);
                     granted.push(claim.clone());
@@ -92,7 +93,7 @@
         }
         let majority = self.voters.len() / 2 + 1;
         let Some(state) = self.rounds.get_mut(&round) else { return };
-        let until = (state.sent_at + LEASE).since(CLOCK_MARGIN);
+        let until = (state.sent_at + LEASE_DURATION).since(CLOCK_MARGIN);
         let mut won = Vec::new();
         for claim in granted {
             let voters = state.granted.entry(claim.clone()).or_default();
@@ -165,7 +166,7 @@
             {
                 // As if last heard a lease duration ago, so that the other entries wait only for
                 // their rank's delay.
-                holder.last_heard = now.since(LEASE);
+                holder.last_heard = now.since(LEASE_DURATION);
             }
         }
     }
--- a/src/kingcupgrade/coordination/lease/mod.rs
+++ b/src/kingcupgrade/coordination/lease/mod.rs
@@ -15,7 +15,7 @@
 };
 
 /// How long a vote, and thus a lease, is valid.
-pub const LEASE: Millis = Millis(2_000);
+pub const LEASE_DURATION: Millis = Millis(2_000);
 /// A holder stops this long before its voters' votes expire, to allow for clock drift.
 const CLOCK_MARGIN: Millis = Millis(200);
 /// How often leases are renewed.
@@ -191,7 +191,9 @@
     /// because a restarted voter does not vote for that long.
     pub fn may_be_outvoted(&self, now: Millis) -> bool {
         let is_terminated = |voter: &Instance| {
-            self.terminated.get(voter).is_some_and(|at| now.since(*at) < LEASE.since(CLOCK_MARGIN))
+            self.terminated
+                .get(voter)
+                .is_some_and(|at| now.since(*at) < LEASE_DURATION.since(CLOCK_MARGIN))
         };
         let others = self.voters.iter().filter(|voter| **voter != self.instance);
         others.filter(|voter| !is_terminated(voter)).count() > self.voters.len() / 2
@@ -207,7 +209,7 @@
     /// Returns the lease holder of a service's pool, if it announced itself within a lease
     /// duration.
     pub fn holder(&self, now: Millis, service: &Service) -> Option<&Holder> {
-        self.holders.get(service).filter(|holder| now.since(holder.last_heard) < LEASE)
+        self.holders.get(service).filter(|holder| now.since(holder.last_heard) < LEASE_DURATION)
     }
 
     /// Returns the term of the lease, if this instance holds it now.
@@ -303,7 +305,8 @@
     fn may_request(&self, now: Millis, service: &Service) -> bool {
         let last_heard = self.holders.get(service).map_or(self.started, |holder| holder.last_heard);
         let is_due = self.retry_at.get(service).is_none_or(|at| now >= *at);
-        is_due && now.since(last_heard) >= LEASE + Millis(RANK_DELAY.0 * self.rank(service))
+        is_due
+            && now.since(last_heard) >= LEASE_DURATION + Millis(RANK_DELAY.0 * self.rank(service))
     }
 
     fn rank(&self, service: &Service) -> u64 {
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -7,7 +7,7 @@
     coordination::{
         decision::Decision,
         dispatcher::{Dispatcher, DispatcherOutput, slots::Listed},
-        lease::{LEASE, LeaseOutput},
+        lease::{LEASE_DURATION, LeaseOutput},
         orders::OrderBook,
     },
     core::{Document, FailureDomain, Instance, Millis, Service, document::SlotLimits},
@@ -221,7 +221,7 @@
         domain: &FailureDomain,
     ) -> Option<Instance> {
         let ranked = ranking(service.as_str(), residents(&self.settings, domain));
-        let turn = now.0 / LEASE.0;
+        let turn = now.0 / LEASE_DURATION.0;
         let count = ranked.len().max(1) as u64;
         ranked.get(usize::try_from(turn % count).unwrap_or(0)).cloned()
     }
--- a/src/kingcupgrade/coordination/node/requests.rs
+++ b/src/kingcupgrade/coordination/node/requests.rs
@@ -8,7 +8,7 @@
     coordination::{
         dispatcher::Dispatcher,
         entry::{Arrival, AttemptEnd, EntryMachine, EntryOutput, RequestId},
-        lease::LEASE,
+        lease::LEASE_DURATION,
         view::View,
     },
     core::{Code, Millis, Service},
@@ -92,7 +92,7 @@
             self.run_entry(now, out, |entry, _, outputs| {
                 let known = entry.session_pools().find(|(p, _)| **p == pool);
                 let holder = known.map_or(guess, |(_, holder)| holder.clone());
-                entry.want_session(now, pool, &holder, 0, Some(now + LEASE), outputs);
+                entry.want_session(now, pool, &holder, 0, Some(now + LEASE_DURATION), outputs);
             });
         }
     }
--- a/src/kingcupgrade/coordination/orders.rs
+++ b/src/kingcupgrade/coordination/orders.rs
@@ -15,7 +15,7 @@
     net::SocketAddr,
 };
 
-use super::{decision::Decision, lease::LEASE};
+use super::{decision::Decision, lease::LEASE_DURATION};
 use crate::{
     core::{Millis, Service, UpstreamName},
     protocol::order::{EngineSetup, Setup, UpstreamOrder},
@@ -27,7 +27,7 @@
 const LEASE_LEFT: Millis = Millis(1_000);
 /// A new holder orders nothing for this long; orders of the one before have arrived by then, or
 /// are found by reading back.
-const QUIET: Millis = LEASE;
+const QUIET: Millis = LEASE_DURATION;
 /// How often an engine that changes is read back.
 const CHANGING_INTERVAL: Millis = Millis(250);
 /// How often an engine that is as wanted is read back.
