--- a/src/kingcupgrade/coordination/lease/messages.rs
+++ b/src/kingcupgrade/coordination/lease/messages.rs
@@ -1,12 +1,12 @@
 //! Handling of lease messages: requests, replies, announcements and releases.
 
-use super::{CLOCK_MARGIN, Holder, LEASE_DURATION, Lease, LeaseBook, LeaseOutput, Vote};
+use super::{CLOCK_MARGIN, Holder, LEASE_DURATION, Lease, LeaseManager, LeaseOutput, Vote};
 use crate::{
     core::{Instance, Millis, Service},
     protocol::lease::{Claim, LeaseMessage},
 };
 
-impl LeaseBook {
+impl LeaseManager {
     /// Handles a message from an instance of the same failure domain.
     pub fn on_message(
         &mut self,
--- a/src/kingcupgrade/coordination/lease/mod.rs
+++ b/src/kingcupgrade/coordination/lease/mod.rs
@@ -83,7 +83,7 @@
 
 /// The leases of one failure domain, as known to one of its entries.
 #[derive(Clone, Debug)]
-pub struct LeaseBook {
+pub struct LeaseManager {
     instance: Instance,
     voters: Vec<Instance>,
     local_entries: Vec<Instance>,
@@ -115,7 +115,7 @@
     last_tick: Millis,
 }
 
-impl LeaseBook {
+impl LeaseManager {
     /// Creates the lease manager of `instance`, where `local_entries` are the entries of `domain`,
     /// including `instance`.
     ///
@@ -128,10 +128,10 @@
         instance: Instance,
         domain: &FailureDomain,
         local_entries: Vec<Instance>,
-    ) -> LeaseBook {
+    ) -> LeaseManager {
         let mut voters = ranking(domain.as_str(), local_entries.iter().cloned());
         voters.truncate(MAX_VOTERS);
-        LeaseBook {
+        LeaseManager {
             instance,
             voters,
             local_entries,
--- a/src/kingcupgrade/coordination/node/mod.rs
+++ b/src/kingcupgrade/coordination/node/mod.rs
@@ -17,7 +17,7 @@
     decision::Decision,
     dispatcher::{Dispatcher, slots::Listed},
     entry::{Arrival, AttemptEnd, EntryMachine, RequestId},
-    lease::LeaseBook,
+    lease::LeaseManager,
     orders::{Ask, AskId, EngineAnswer, OrderBook},
     view::View,
 };
@@ -164,7 +164,7 @@
     domain: FailureDomain,
     view: View,
     entry: Option<EntryMachine>,
-    leases: Option<LeaseBook>,
+    leases: Option<LeaseManager>,
     dispatchers: BTreeMap<Service, Dispatcher>,
     /// Orders to the engines of the pools this instance dispatches.
     orders: BTreeMap<Service, OrderBook>,
@@ -208,7 +208,7 @@
         let client = RecordClient::new(&instance, controls, neighbours);
         let entry = is_entry.then(|| EntryMachine::new(domain.clone(), incarnation));
         let leases = (is_entry && !settings.static_shares)
-            .then(|| LeaseBook::new(now, incarnation, instance, &domain, residents));
+            .then(|| LeaseManager::new(now, incarnation, instance, &domain, residents));
         Node {
             domain,
             view: View::default(),
--- a/tests/testsuite/stalls.rs
+++ b/tests/testsuite/stalls.rs
@@ -5,7 +5,7 @@
 use kingcupgrade::{
     coordination::{
         consensus::{Consensus, ConsensusOutput, ELECTION_MIN},
-        lease::LeaseBook,
+        lease::LeaseManager,
     },
     core::{Instance, Millis},
     protocol::consensus::{ConsensusMessage, Member, ReplicaId},
@@ -121,8 +121,8 @@
 fn a_refused_connection_read_after_a_stall_proves_nothing() {
     let residents: Vec<Instance> = ["a", "b", "c"].map(Instance::from).to_vec();
     let domain = "north".into();
-    let mut book = LeaseBook::new(Millis(0), 1, "a".into(), &domain, residents.clone());
-    let refuse_all = |book: &mut LeaseBook, now| {
+    let mut book = LeaseManager::new(Millis(0), 1, "a".into(), &domain, residents.clone());
+    let refuse_all = |book: &mut LeaseManager, now| {
         residents[1..].iter().for_each(|gone| book.on_dial_failed(Millis(now), gone, true));
     };
     book.tick(Millis(5_000), &mut Vec::new());
