--- a/crates/kingcup-load/src/slopes.rs
+++ b/crates/kingcup-load/src/slopes.rs
@@ -198,7 +198,7 @@
     let exchanges: Vec<usize> = out
         .drain(..)
         .filter_map(|output| match output {
-            DispatcherOutput::SendToNeighbours(message) => Some(wire_len(message)),
+            DispatcherOutput::SendToRemoteDispatchers(message) => Some(wire_len(message)),
             _ => None,
         })
         .collect();
--- a/src/kingcupgrade/coordination/dispatcher/exchange.rs
+++ b/src/kingcupgrade/coordination/dispatcher/exchange.rs
@@ -52,7 +52,7 @@
         // A pool that can't serve reports no counter, so that no remote pool sends its demand here.
         let least = if self.serving { self.counters.min_counter() } else { None };
         let body = DispatchBody::Exchange { free: self.idle_slots(now), least, served };
-        out.push(DispatcherOutput::SendToNeighbours(self.message(body)));
+        out.push(DispatcherOutput::SendToRemoteDispatchers(self.message(body)));
     }
 
     /// Returns the lease holder of the service's pool in `domain`, if it was heard recently.
--- a/src/kingcupgrade/coordination/dispatcher/mod.rs
+++ b/src/kingcupgrade/coordination/dispatcher/mod.rs
@@ -63,7 +63,7 @@
     /// Send a message to an instance.
     Send(Instance, DispatchMessage),
     /// Send a message to the dispatchers of the service in all other failure domains.
-    SendToNeighbours(DispatchMessage),
+    SendToRemoteDispatchers(DispatchMessage),
     /// Log a decision.
     Decided(Decision),
 }
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -182,7 +182,7 @@
                 DispatcherOutput::Send(to, message) => {
                     self.send(to, Message::Dispatch(message), out);
                 }
-                DispatcherOutput::SendToNeighbours(message) => {
+                DispatcherOutput::SendToRemoteDispatchers(message) => {
                     self.send_to_neighbours(now, service, &message, out);
                 }
                 DispatcherOutput::Decided(decision) => out.push(Output::Decided(decision)),
