--- a/src/kingcupgrade/coordination/dispatcher/mod.rs
+++ b/src/kingcupgrade/coordination/dispatcher/mod.rs
@@ -203,7 +203,7 @@
     }
 
     /// Sets whether the failure domain accepts new requests, and which upstreams get none.
-    pub fn set_standing(&mut self, serving: bool, leaving: &BTreeSet<UpstreamName>) {
+    pub fn set_availability(&mut self, serving: bool, leaving: &BTreeSet<UpstreamName>) {
         self.serving = serving;
         self.leaving.clone_from(leaving);
     }
--- a/src/kingcupgrade/coordination/node/orders.rs
+++ b/src/kingcupgrade/coordination/node/orders.rs
@@ -72,12 +72,12 @@
         let serving = !self.view.is_out(&self.domain);
         let mut withheld = self.view.leaving();
         if let Some(share) = self.shares.get_mut(service) {
-            share.set_standing(serving, &withheld);
+            share.set_availability(serving, &withheld);
         }
         let held = self.orders.get(service).map(OrderBook::held);
         withheld.extend(held.into_iter().flatten().cloned());
         if let Some(dispatcher) = self.dispatchers.get_mut(service) {
-            dispatcher.set_standing(serving, &withheld);
+            dispatcher.set_availability(serving, &withheld);
         }
     }
 }
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -106,7 +106,7 @@
         let mut dispatcher = Dispatcher::new(now, pool, instance, term, document, residents);
         let domains = self.settings.peers.iter();
         dispatcher.set_domains(domains.map(|p| (p.instance.clone(), p.failure_domain.clone())));
-        dispatcher.set_standing(!self.view.is_out(&self.domain), &self.view.leaving());
+        dispatcher.set_availability(!self.view.is_out(&self.domain), &self.view.leaving());
         dispatcher
     }
 
