--- a/src/kingcupgrade/coordination/dispatcher/mod.rs
+++ b/src/kingcupgrade/coordination/dispatcher/mod.rs
@@ -222,7 +222,7 @@
     }
 
     /// Treats an upstream as cold after an order changed its setup.
-    pub fn on_changed(
+    pub fn on_reconfigured(
         &mut self,
         now: Millis,
         name: &UpstreamName,
--- a/src/kingcupgrade/coordination/node/orders.rs
+++ b/src/kingcupgrade/coordination/node/orders.rs
@@ -59,7 +59,7 @@
                 OrderOutput::Decided(decision) => out.push(Output::Decided(decision)),
                 OrderOutput::Changed(upstream) => {
                     if let Some(dispatcher) = self.dispatchers.get_mut(service) {
-                        dispatcher.on_changed(now, &upstream, &mut dispatched);
+                        dispatcher.on_reconfigured(now, &upstream, &mut dispatched);
                     }
                 }
             }
