--- a/src/kingcupgrade/coordination/dispatcher/mod.rs
+++ b/src/kingcupgrade/coordination/dispatcher/mod.rs
@@ -213,7 +213,7 @@
     ///
     /// Only the upstream's own load reports can show whether an unreachable entry uses its static
     /// share there.
-    pub fn upstream(&self, now: Millis, name: &UpstreamName) -> Option<(SocketAddr, bool)> {
+    pub fn upstream_state(&self, now: Millis, name: &UpstreamName) -> Option<(SocketAddr, bool)> {
         let slots = self.slots.get(name)?;
         let is_reserved = self.reserved.get(name).is_some_and(|count| *count > 0);
         let is_share_unused = !is_reserved || slots.is_reported_idle(now);
--- a/src/kingcupgrade/coordination/node/orders.rs
+++ b/src/kingcupgrade/coordination/node/orders.rs
@@ -23,7 +23,7 @@
         };
         let standing = self.view.orders().filter(|order| !order.setup.is_empty());
         let engines = standing.filter_map(|order| {
-            let (address, is_idle) = dispatcher.upstream(now, &order.upstream)?;
+            let (address, is_idle) = dispatcher.upstream_state(now, &order.upstream)?;
             Some(EngineState { order, address, is_idle })
         });
         let mut outputs = Vec::new();
