--- a/src/kingcupgrade/coordination/dispatcher/mod.rs
+++ b/src/kingcupgrade/coordination/dispatcher/mod.rs
@@ -359,11 +359,11 @@
             Ending::Completed => slots.on_completed(now, grant.granted_at, done.first_byte_ms),
             Ending::Unused => None,
             Ending::Refused => {
-                slots.on_trouble(now);
+                slots.on_failure(now);
                 Some(LimitReset::Refused)
             }
             Ending::Failed => {
-                slots.on_trouble(now);
+                slots.on_failure(now);
                 Some(LimitReset::Failed)
             }
         };
--- a/src/kingcupgrade/coordination/dispatcher/slots.rs
+++ b/src/kingcupgrade/coordination/dispatcher/slots.rs
@@ -347,7 +347,7 @@
     ///
     /// Failures during a pause count as one. If each of them doubled the pause, a single brief
     /// fault under full load would pause the upstream for the maximum time at once.
-    pub fn on_trouble(&mut self, now: Millis) {
+    pub fn on_failure(&mut self, now: Millis) {
         if now >= self.paused_until {
             let pause = Millis(PAUSE.0 << self.failures.min(4)).min(MAX_PAUSE);
             self.failures += 1;
--- a/tests/testsuite/slots.rs
+++ b/tests/testsuite/slots.rs
@@ -28,7 +28,7 @@
 fn requests_that_fail_together_pause_an_upstream_once() {
     let mut slots = proven(1_000, true);
     for _ in 0..50 {
-        slots.on_trouble(Millis(1_000));
+        slots.on_failure(Millis(1_000));
     }
     assert_eq!(slots.free(Millis(1_100), 0, 0), 0);
     assert!(slots.free(Millis(1_500), 0, 0) > 0, "paused for longer than once");
@@ -42,7 +42,7 @@
         slots.on_completed(Millis(1_100), Millis(1_050), Some(10));
     }
     assert_eq!(slots.limit(), 8);
-    slots.on_trouble(Millis(2_000));
+    slots.on_failure(Millis(2_000));
     slots.on_listed(Millis(2_400), Millis(0), Millis(1_000), &listed(500, true), |_| 0);
     slots.on_completed(Millis(2_500), Millis(2_450), Some(10));
     assert_eq!(slots.limit(), 2, "grown on the word of an old report");
