--- a/src/kingcupgrade/coordination/entry/mod.rs
+++ b/src/kingcupgrade/coordination/entry/mod.rs
@@ -194,7 +194,7 @@
     }
 
     /// Lists the services with requests running here under a static share.
-    pub fn shared_services(&self) -> Vec<Service> {
+    pub fn static_share_services(&self) -> Vec<Service> {
         let shared = self.held.keys().filter(|(_, id)| id.is_static());
         let services: BTreeSet<&Service> = shared.map(|(pool, _)| &pool.0).collect();
         services.into_iter().cloned().collect()
--- a/src/kingcupgrade/coordination/lease/mod.rs
+++ b/src/kingcupgrade/coordination/lease/mod.rs
@@ -169,7 +169,7 @@
     }
 
     /// Sets the services with requests running here under a static share.
-    pub fn set_sharing(&mut self, services: Vec<Service>) {
+    pub fn set_static_share_services(&mut self, services: Vec<Service>) {
         self.static_share_services = services;
     }
 
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -29,7 +29,7 @@
     ) {
         let Some(leases) = &mut self.leases else { return };
         if let Some(entry) = &self.entry {
-            leases.set_sharing(entry.shared_services());
+            leases.set_static_share_services(entry.static_share_services());
         }
         let mut outputs = Vec::new();
         leases.on_message(now, from, message, &mut outputs);
