--- a/crates/kingcup-load/src/slopes.rs
+++ b/crates/kingcup-load/src/slopes.rs
@@ -246,7 +246,7 @@
             idempotent: true,
             needs_claim: false,
         };
-        machine.arrive(now, arrival, &document, &mut out);
+        machine.admit(now, arrival, &document, &mut out);
         let id = GrantId(1, next);
         let grant = Grant { id, organisation, upstream: "engine-01".into(), address: address() };
         let body = DispatchBody::Grants { session, heard, grants: vec![grant] };
--- a/src/kingcupgrade/coordination/entry/mod.rs
+++ b/src/kingcupgrade/coordination/entry/mod.rs
@@ -222,7 +222,7 @@
     }
 
     /// Queues a request or refuses it.
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         now: Millis,
         arrival: Arrival,
--- a/src/kingcupgrade/coordination/node/requests.rs
+++ b/src/kingcupgrade/coordination/node/requests.rs
@@ -40,7 +40,7 @@
         }
         let service = arrival.service.clone();
         self.run_entry(now, out, |entry, _, outputs| {
-            entry.arrive(now, arrival, &document, outputs);
+            entry.admit(now, arrival, &document, outputs);
         });
         self.ensure_sessions(now, &service, out);
     }
--- a/tests/testsuite/entry.rs
+++ b/tests/testsuite/entry.rs
@@ -32,7 +32,7 @@
         idempotent: false,
         needs_claim: true,
     };
-    entry.arrive(Millis(0), arrival, &document, &mut out);
+    entry.admit(Millis(0), arrival, &document, &mut out);
     let grant = Grant {
         id: GrantId(1, 1),
         organisation: "alder".into(),
