--- a/crates/kingcup-load/src/slopes.rs
+++ b/crates/kingcup-load/src/slopes.rs
@@ -226,7 +226,7 @@
     let mut machine = EntryMachine::new("north".into(), 1);
     let mut out = Vec::new();
     let mut now = Millis(1_000);
-    machine.want_session(now, pool(), &holder, 1, None, &mut out);
+    machine.ensure_session(now, pool(), &holder, 1, None, &mut out);
     let session = Session(1, 1).tag();
     let before = resident();
     let (mut next, mut bytes, mut messages) = (1_u64, 0, 0);
--- a/src/kingcupgrade/coordination/entry/sessions.rs
+++ b/src/kingcupgrade/coordination/entry/sessions.rs
@@ -62,12 +62,12 @@
         }
         for Offer(domain, holder) in offers {
             let other = Pool(pool.0.clone(), domain.clone());
-            self.want_session(now, other, holder, 0, Some(now + OFFER_TTL), out);
+            self.ensure_session(now, other, holder, 0, Some(now + OFFER_TTL), out);
         }
     }
 
     /// Opens a session with `holder` unless one with the same holder and term exists.
-    pub fn want_session(
+    pub fn ensure_session(
         &mut self,
         now: Millis,
         pool: Pool,
--- a/src/kingcupgrade/coordination/node/requests.rs
+++ b/src/kingcupgrade/coordination/node/requests.rs
@@ -68,7 +68,7 @@
         };
         if let Some((instance, term)) = target {
             self.run_entry(now, out, |entry, _, outputs| {
-                entry.want_session(now, home, &instance, term, None, outputs);
+                entry.ensure_session(now, home, &instance, term, None, outputs);
             });
         }
         if self.settings.static_shares {
@@ -92,7 +92,7 @@
             self.run_entry(now, out, |entry, _, outputs| {
                 let known = entry.session_pools().find(|(p, _)| **p == pool);
                 let holder = known.map_or(guess, |(_, holder)| holder.clone());
-                entry.want_session(now, pool, &holder, 0, Some(now + LEASE_DURATION), outputs);
+                entry.ensure_session(now, pool, &holder, 0, Some(now + LEASE_DURATION), outputs);
             });
         }
     }
--- a/tests/testsuite/entry.rs
+++ b/tests/testsuite/entry.rs
@@ -23,7 +23,7 @@
     let holder = Instance::from("entry-1");
     let mut entry = EntryMachine::new("north".into(), 1);
     let mut out = Vec::new();
-    entry.want_session(Millis(0), pool.clone(), &holder, 1, None, &mut out);
+    entry.ensure_session(Millis(0), pool.clone(), &holder, 1, None, &mut out);
     let arrival = Arrival {
         id: 7,
         service: "orders".into(),
