--- a/src/kingcupgrade/coordination/entry/mod.rs
+++ b/src/kingcupgrade/coordination/entry/mod.rs
@@ -362,7 +362,12 @@
     /// Records whether the pool of this failure domain has a dispatcher.
     ///
     /// Returns whether it has had none for so long that demand should go to other failure domains.
-    pub fn note_home(&mut self, now: Millis, service: &Service, has_dispatcher: bool) -> bool {
+    pub fn note_local_dispatcher(
+        &mut self,
+        now: Millis,
+        service: &Service,
+        has_dispatcher: bool,
+    ) -> bool {
         let state = self.services.entry(service.clone()).or_default();
         if has_dispatcher {
             state.no_dispatcher_since = None;
--- a/src/kingcupgrade/coordination/node/requests.rs
+++ b/src/kingcupgrade/coordination/node/requests.rs
@@ -74,8 +74,10 @@
         if self.settings.static_shares {
             return;
         }
-        let homeless =
-            self.entry.as_mut().is_some_and(|entry| entry.note_home(now, service, has_holder));
+        let homeless = self
+            .entry
+            .as_mut()
+            .is_some_and(|entry| entry.note_local_dispatcher(now, service, has_holder));
         if homeless && self.view.is_fresh(now) {
             self.ask_elsewhere(now, service, out);
         }
