--- a/src/kingcupgrade/coordination/lease/mod.rs
+++ b/src/kingcupgrade/coordination/lease/mod.rs
@@ -200,7 +200,7 @@
     }
 
     /// Returns whether another instance may hold a service's lease, as far as known here.
-    pub fn may_be_held(&self, now: Millis, service: &Service) -> bool {
+    pub fn may_be_held_elsewhere(&self, now: Millis, service: &Service) -> bool {
         let vote = self.votes.get(service);
         let promised = vote.is_some_and(|v| v.holder != self.instance && now < v.until);
         promised || self.holder(now, service).is_some()
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -265,8 +265,10 @@
         }
         let services: Vec<Service> = self.view.documents().keys().cloned().collect();
         for service in services {
-            let may_be_held =
-                self.leases.as_ref().is_some_and(|leases| leases.may_be_held(now, &service));
+            let may_be_held = self
+                .leases
+                .as_ref()
+                .is_some_and(|leases| leases.may_be_held_elsewhere(now, &service));
             let since = if may_be_held {
                 self.homeless.remove(&service);
                 None
