--- a/src/kingcupgrade/coordination/lease/mod.rs
+++ b/src/kingcupgrade/coordination/lease/mod.rs
@@ -189,7 +189,7 @@
     ///
     /// A voter whose process was recently found terminated can't vote until a lease duration later,
     /// because a restarted voter does not vote for that long.
-    pub fn may_be_outvoted(&self, now: Millis) -> bool {
+    pub fn others_may_form_majority(&self, now: Millis) -> bool {
         let is_terminated = |voter: &Instance| {
             self.terminated
                 .get(voter)
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -301,7 +301,8 @@
     fn share_slots(&self, now: Millis, whole: SlotLimits) -> SlotLimits {
         let Some(leases) = &self.leases else { return whole };
         // A dispatcher on the other side of a cut keeps back no more.
-        let own = if leases.may_be_outvoted(now) { whole.static_part() } else { whole.cold };
+        let own =
+            if leases.others_may_form_majority(now) { whole.static_part() } else { whole.cold };
         SlotLimits { cold: own, warm: own }
     }
 
--- a/tests/testsuite/stalls.rs
+++ b/tests/testsuite/stalls.rs
@@ -127,9 +127,9 @@
     };
     book.tick(Millis(5_000), &mut Vec::new());
     refuse_all(&mut book, 5_010);
-    assert!(!book.may_be_outvoted(Millis(5_020)), "both are gone");
+    assert!(!book.others_may_form_majority(Millis(5_020)), "both are gone");
     refuse_all(&mut book, 15_000);
-    assert!(book.may_be_outvoted(Millis(15_000)), "the word may be ten seconds old");
+    assert!(book.others_may_form_majority(Millis(15_000)), "the word may be ten seconds old");
 }
 
 /// Guards against a leader that goes on for good without a majority since it stands still again and
