--- a/src/kingcupgrade/coordination/dispatcher/exchange.rs
+++ b/src/kingcupgrade/coordination/dispatcher/exchange.rs
@@ -17,7 +17,7 @@
         self.remote_dispatchers.iter().filter(move |(_, remote)| remote.is_fresh(now))
     }
 
-    /// Lists the remote dispatchers that should receive this pool's demand.
+    /// Lists the remote dispatchers to which entries should report their demand too.
     ///
     /// These are the ones with idle slots, and the ones whose backlogged organisations have all had
     /// much more service than the least served organisation here. If this pool can't serve at all,
@@ -49,7 +49,7 @@
             self.counters.mark_backlogged_changed();
         }
         let served = self.counters.take_changed(EXCHANGE_BATCH, is_full);
-        // A pool that can't serve reports no counter, so that no remote pool sends its demand here.
+        // A pool that can't serve reports no counter: demand sent here would not be served sooner.
         let least = if self.serving { self.counters.min_counter() } else { None };
         let body = DispatchBody::Exchange { free: self.idle_slots(now), least, served };
         out.push(DispatcherOutput::SendToRemoteDispatchers(self.message(body)));
@@ -68,7 +68,7 @@
         from: &Instance,
         term: u64,
         free: u32,
-        least: Option<i64>,
+        min_counter: Option<i64>,
         served: &[Served],
         out: &mut Vec<DispatcherOutput>,
     ) {
@@ -78,18 +78,13 @@
             return;
         }
         let is_new = self.remote_dispatchers.get(&domain).is_none_or(|known| known.term != term);
-        let remote = RemoteDispatcher {
-            holder: from.clone(),
-            term,
-            free,
-            min_counter: least,
-            last_heard: now,
-        };
+        let remote =
+            RemoteDispatcher { holder: from.clone(), term, free, min_counter, last_heard: now };
         self.remote_dispatchers.insert(domain.clone(), remote);
-        let behind = self.counters.merge_remote(&domain, served);
+        let is_behind = self.counters.merge_remote(&domain, served);
         // A new holder's counters start at zero. Unless it learns what its failure domain has
         // already served, its organisations would receive the same service twice.
-        if is_new || behind {
+        if is_new || is_behind {
             let served = self.counters.remote(&domain);
             self.send(from, DispatchBody::Recall { served }, out);
         }
--- a/src/kingcupgrade/coordination/entry/mod.rs
+++ b/src/kingcupgrade/coordination/entry/mod.rs
@@ -96,7 +96,7 @@
         /// The address it listens on.
         address: SocketAddr,
     },
-    /// Answer the caller with an error, since the request has finally failed.
+    /// Answer the caller with an error, since the request was refused or has finally failed.
     GiveUp {
         /// The request.
         id: RequestId,
--- a/src/kingcupgrade/coordination/entry/pool_session.rs
+++ b/src/kingcupgrade/coordination/entry/pool_session.rs
@@ -23,8 +23,8 @@
 /// While the dispatcher assumes that at least this many requests of an organisation wait, the exact
 /// count does not affect its decisions.
 const SUFFICIENT_BACKLOG: u32 = 4;
-/// Grants are used only until this long before the dispatcher would end the session, which allows for
-/// the time that a request takes to reach the upstream.
+/// Grants are used only until this long before the dispatcher would end the session, which allows
+/// for the time that a request takes to reach the upstream.
 const GRANT_MARGIN: Millis = Millis(700);
 /// Number of grant IDs remembered per session, far more than can be in transit.
 const MAX_RECEIVED_GRANTS: usize = 4_096;
--- a/src/kingcupgrade/coordination/lease/mod.rs
+++ b/src/kingcupgrade/coordination/lease/mod.rs
@@ -1,8 +1,8 @@
 //! Leases for dispatching pools, granted by a majority of voters within one failure domain.
 //!
 //! A failure domain that is partitioned from all others must keep serving, so all voters are in the
-//! failure domain itself. Votes are kept in memory only. A restarted voter may have lost a vote, so
-//! it does not vote until every vote it could have given has expired.
+//! failure domain itself. Votes are kept in memory only. A restarted voter has lost the votes it
+//! gave, so it does not vote until all that it could have given have expired.
 
 mod messages;
 
