--- a/src/kingcupgrade/coordination/dispatcher/counters.rs
+++ b/src/kingcupgrade/coordination/dispatcher/counters.rs
@@ -118,7 +118,7 @@
         waiting: u32,
         remote_min: Option<i64>,
     ) {
-        let target = remote_min.map_or(self.virtual_time, |least| least.min(self.virtual_time));
+        let target = remote_min.map_or(self.virtual_time, |remote| remote.min(self.virtual_time));
         let share = self.share_of(organisation);
         let is_lifted = self.update(organisation, share, |account| {
             let becomes_backlogged = account.waiting == 0 && waiting > 0;
