--- a/src/kingcupgrade/coordination/dispatcher/slots.rs
+++ b/src/kingcupgrade/coordination/dispatcher/slots.rs
@@ -275,9 +275,10 @@
     /// running when the reports were made.
     ///
     /// A grant in use may not have reached the upstream yet, or the message about its end may still
-    /// be in transit; either would hide a request of a silent entry. Allowing time for both
-    /// makes an error rare, but not impossible. An error does little harm to a warm upstream. Cold
-    /// upstreams are excluded: their slots become free when a report or the deadline shows it.
+    /// be in transit; either would hide a request of a silent entry. Allowing time for both makes
+    /// an error rare, but not impossible. It does little harm to a warm upstream but could make a
+    /// cold one fail. Cold upstreams are therefore excluded: their slots become free when a report
+    /// or the deadline shows it.
     fn reconcile_reports(&mut self, now: Millis, granted_before: impl Fn(Millis) -> u32) {
         while let Some((made_at, running)) = self.reports.front().copied() {
             if now.since(made_at) < MAX_END_DELAY {
--- a/src/kingcupgrade/coordination/entry/pool_session.rs
+++ b/src/kingcupgrade/coordination/entry/pool_session.rs
@@ -48,7 +48,7 @@
     pub demand_suspended: bool,
     seq: u64,
     received: u64,
-    /// IDs of the received grants, used to detect duplicates.
+    /// IDs of the most recently received grants, used to detect duplicates.
     received_grants: BTreeSet<GrantId>,
     acked_at: Millis,
     last_report: Millis,
