--- a/crates/kingcup-load/src/slopes.rs
+++ b/crates/kingcup-load/src/slopes.rs
@@ -198,7 +198,7 @@
     let exchanges: Vec<usize> = out
         .drain(..)
         .filter_map(|output| match output {
-            DispatcherOutput::SendToNeighbours(message) => Some(wire_len(message)),
+            DispatcherOutput::SendToRemoteDispatchers(message) => Some(wire_len(message)),
             _ => None,
         })
         .collect();
@@ -226,7 +226,7 @@
     let mut machine = EntryMachine::new("north".into(), 1);
     let mut out = Vec::new();
     let mut now = Millis(1_000);
-    machine.want_session(now, pool(), &holder, 1, None, &mut out);
+    machine.ensure_session(now, pool(), &holder, 1, None, &mut out);
     let session = Session(1, 1).tag();
     let before = resident();
     let (mut next, mut bytes, mut messages) = (1_u64, 0, 0);
@@ -246,7 +246,7 @@
             idempotent: true,
             needs_claim: false,
         };
-        machine.arrive(now, arrival, &document, &mut out);
+        machine.admit(now, arrival, &document, &mut out);
         let id = GrantId(1, next);
         let grant = Grant { id, organisation, upstream: "engine-01".into(), address: address() };
         let body = DispatchBody::Grants { session, heard, grants: vec![grant] };
--- a/src/kingcupgrade/coordination/node/orders.rs
+++ b/src/kingcupgrade/coordination/node/orders.rs
@@ -23,7 +23,7 @@
         };
         let standing = self.view.orders().filter(|order| !order.setup.is_empty());
         let engines = standing.filter_map(|order| {
-            let (address, is_idle) = dispatcher.upstream(now, &order.upstream)?;
+            let (address, is_idle) = dispatcher.upstream_state(now, &order.upstream)?;
             Some(EngineState { order, address, is_idle })
         });
         let mut outputs = Vec::new();
@@ -59,7 +59,7 @@
                 OrderOutput::Decided(decision) => out.push(Output::Decided(decision)),
                 OrderOutput::Changed(upstream) => {
                     if let Some(dispatcher) = self.dispatchers.get_mut(service) {
-                        dispatcher.on_changed(now, &upstream, &mut dispatched);
+                        dispatcher.on_reconfigured(now, &upstream, &mut dispatched);
                     }
                 }
             }
@@ -72,12 +72,12 @@
         let serving = !self.view.is_out(&self.domain);
         let mut withheld = self.view.leaving();
         if let Some(share) = self.shares.get_mut(service) {
-            share.set_standing(serving, &withheld);
+            share.set_availability(serving, &withheld);
         }
         let held = self.orders.get(service).map(OrderBook::held);
         withheld.extend(held.into_iter().flatten().cloned());
         if let Some(dispatcher) = self.dispatchers.get_mut(service) {
-            dispatcher.set_standing(serving, &withheld);
+            dispatcher.set_availability(serving, &withheld);
         }
     }
 }
