--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -7,7 +7,7 @@
     coordination::{
         decision::Decision,
         dispatcher::{Dispatcher, DispatcherOutput, slots::Listed},
-        lease::{LEASE, LeaseOutput},
+        lease::{LEASE_DURATION, LeaseOutput},
         orders::OrderBook,
     },
     core::{Document, FailureDomain, Instance, Millis, Service, document::SlotLimits},
@@ -29,7 +29,7 @@
     ) {
         let Some(leases) = &mut self.leases else { return };
         if let Some(entry) = &self.entry {
-            leases.set_sharing(entry.shared_services());
+            leases.set_static_share_services(entry.static_share_services());
         }
         let mut outputs = Vec::new();
         leases.on_message(now, from, message, &mut outputs);
@@ -106,7 +106,7 @@
         let mut dispatcher = Dispatcher::new(now, pool, instance, term, document, residents);
         let domains = self.settings.peers.iter();
         dispatcher.set_domains(domains.map(|p| (p.instance.clone(), p.failure_domain.clone())));
-        dispatcher.set_standing(!self.view.is_out(&self.domain), &self.view.leaving());
+        dispatcher.set_availability(!self.view.is_out(&self.domain), &self.view.leaving());
         dispatcher
     }
 
@@ -182,7 +182,7 @@
                 DispatcherOutput::Send(to, message) => {
                     self.send(to, Message::Dispatch(message), out);
                 }
-                DispatcherOutput::SendToNeighbours(message) => {
+                DispatcherOutput::SendToRemoteDispatchers(message) => {
                     self.send_to_neighbours(now, service, &message, out);
                 }
                 DispatcherOutput::Decided(decision) => out.push(Output::Decided(decision)),
@@ -221,7 +221,7 @@
         domain: &FailureDomain,
     ) -> Option<Instance> {
         let ranked = ranking(service.as_str(), residents(&self.settings, domain));
-        let turn = now.0 / LEASE.0;
+        let turn = now.0 / LEASE_DURATION.0;
         let count = ranked.len().max(1) as u64;
         ranked.get(usize::try_from(turn % count).unwrap_or(0)).cloned()
     }
@@ -265,8 +265,10 @@
         }
         let services: Vec<Service> = self.view.documents().keys().cloned().collect();
         for service in services {
-            let may_be_held =
-                self.leases.as_ref().is_some_and(|leases| leases.may_be_held(now, &service));
+            let may_be_held = self
+                .leases
+                .as_ref()
+                .is_some_and(|leases| leases.may_be_held_elsewhere(now, &service));
             let since = if may_be_held {
                 self.homeless.remove(&service);
                 None
@@ -299,7 +301,8 @@
     fn share_slots(&self, now: Millis, whole: SlotLimits) -> SlotLimits {
         let Some(leases) = &self.leases else { return whole };
         // A dispatcher on the other side of a cut keeps back no more.
-        let own = if leases.may_be_outvoted(now) { whole.static_part() } else { whole.cold };
+        let own =
+            if leases.others_may_form_majority(now) { whole.static_part() } else { whole.cold };
         SlotLimits { cold: own, warm: own }
     }
 
--- a/src/kingcupgrade/coordination/node/requests.rs
+++ b/src/kingcupgrade/coordination/node/requests.rs
@@ -8,7 +8,7 @@
     coordination::{
         dispatcher::Dispatcher,
         entry::{Arrival, AttemptEnd, EntryMachine, EntryOutput, RequestId},
-        lease::LEASE,
+        lease::LEASE_DURATION,
         view::View,
     },
     core::{Code, Millis, Service},
@@ -40,7 +40,7 @@
         }
         let service = arrival.service.clone();
         self.run_entry(now, out, |entry, _, outputs| {
-            entry.arrive(now, arrival, &document, outputs);
+            entry.admit(now, arrival, &document, outputs);
         });
         self.ensure_sessions(now, &service, out);
     }
@@ -68,14 +68,16 @@
         };
         if let Some((instance, term)) = target {
             self.run_entry(now, out, |entry, _, outputs| {
-                entry.want_session(now, home, &instance, term, None, outputs);
+                entry.ensure_session(now, home, &instance, term, None, outputs);
             });
         }
         if self.settings.static_shares {
             return;
         }
-        let homeless =
-            self.entry.as_mut().is_some_and(|entry| entry.note_home(now, service, has_holder));
+        let homeless = self
+            .entry
+            .as_mut()
+            .is_some_and(|entry| entry.note_local_dispatcher(now, service, has_holder));
         if homeless && self.view.is_fresh(now) {
             self.ask_elsewhere(now, service, out);
         }
@@ -92,7 +94,7 @@
             self.run_entry(now, out, |entry, _, outputs| {
                 let known = entry.session_pools().find(|(p, _)| **p == pool);
                 let holder = known.map_or(guess, |(_, holder)| holder.clone());
-                entry.want_session(now, pool, &holder, 0, Some(now + LEASE), outputs);
+                entry.ensure_session(now, pool, &holder, 0, Some(now + LEASE_DURATION), outputs);
             });
         }
     }
