--- a/src/kingcupgrade/core/document.rs
+++ b/src/kingcupgrade/core/document.rs
@@ -1,7 +1,8 @@
-//! The document of a service: its organisations, their shares, and what must never repeat.
+//! The service document: the organisations of a service, their shares, and the requests that must
+//! not be retried.
 //!
-//! A document is checked whole before it is accepted, because a document accepted in part would
-//! be in force on some instances in another form than its author wrote.
+//! A document is validated as a whole before it is accepted. If parts of an invalid document were
+//! accepted, instances could apply a configuration that differs from what its author wrote.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -20,43 +21,44 @@
 };
 use crate::util::hex::to_hex;
 
-/// The largest document accepted, in bytes.
+/// The maximum size of a document, in bytes.
 pub const MAX_DOCUMENT_LEN: usize = 4 << 20;
-/// The largest share an organisation may have.
+/// The maximum share of an organisation.
 pub const MAX_SHARE: u32 = 10_000;
 
-/// What kind of upstream serves the requests.
+/// The kind of upstream that serves the requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Streams answers; a request's cost is the number of events of its answer.
+    /// Streams its answers. The cost of a request is the number of events in its answer.
     ModelEngine,
-    /// Answers whole; each request costs one.
+    /// Sends each answer at once. Every request costs 1.
     PlainService,
 }
 
-/// An organisation's part of the document.
+/// The settings of one organisation in a document.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// Its weight against the other organisations.
+    /// Its weight relative to the other organisations.
     pub share: u32,
-    /// Lower-case hex SHA-256 digests of its bearer tokens; the tokens themselves stay out.
+    /// SHA-256 digests of its bearer tokens in lower-case hex. The document never contains the
+    /// tokens themselves.
     pub token_digests: Vec<String>,
 }
 
-/// A method and path that must never be repeated.
+/// Matches requests, by method and path, that must not be sent more than once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pattern {
-    /// The HTTP method, in capitals.
+    /// The HTTP method, in upper case.
     pub method: String,
-    /// The path below the service; a final `*` matches any rest.
+    /// The path below the service. A trailing `*` matches any suffix.
     pub path: String,
 }
 
 impl Pattern {
-    /// Tells whether a request falls under the pattern.
+    /// Returns whether a request matches the pattern.
     pub fn matches(&self, method: &str, path: &str) -> bool {
         self.method == method && self.matches_path(path)
     }
@@ -79,15 +81,15 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Requests of one organisation that may wait at one entry.
+    /// The maximum number of queued requests per organisation and entry.
     pub queue_requests: usize,
-    /// Bytes of one organisation's bodies that may wait at one entry.
+    /// The maximum total size of the queued request bodies per organisation and entry, in bytes.
     pub queue_bytes: usize,
-    /// The largest body of one request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a request may take, waiting included, in milliseconds.
+    /// How long a request may take, including its time in the queue, in milliseconds.
     pub deadline_ms: u64,
-    /// How long an answer may stand still before it counts as broken, in milliseconds.
+    /// How long an answer may pause before it is treated as broken off, in milliseconds.
     pub silence_ms: u64,
 }
 
@@ -103,60 +105,62 @@
     }
 }
 
-/// How many requests an upstream may run at once.
+/// The maximum number of concurrent requests of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SlotLimits {
-    /// While it is cold.
+    /// The limit while the upstream is cold.
     pub cold: u32,
-    /// Once it has warmed up.
+    /// The limit once the upstream has warmed up.
     pub warm: u32,
 }
 
 impl SlotLimits {
-    /// Returns the slots that are an entry's by static share while it can't know whether others
-    /// dispatch the same upstream; a dispatcher that can't hear the entry has all others.
+    /// Returns the number of slots that an entry may use as its static share while it cannot know
+    /// whether a dispatcher also assigns slots of the same upstream. A dispatcher that cannot reach
+    /// the entry uses the remaining slots.
     ///
-    /// A single slot can't be parted. It is left to the dispatcher, which serves all callers of the
-    /// failure domain but those of one entry.
+    /// A single slot cannot be split. It goes to the dispatcher, which serves all callers of the
+    /// failure domain except those of that one entry.
     pub fn static_part(self) -> u32 {
         self.cold / 2
     }
 }
 
-/// The document of a service.
+/// The configuration of one service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// The service's name, the first part of its callers' paths.
+    /// The name of the service, which is the first segment of its request paths.
     pub service: Service,
-    /// What kind of upstream serves it.
+    /// The kind of its upstreams.
     pub kind: Kind,
-    /// The models its engines serve, for information.
+    /// The models that its engines serve. Informational only.
     #[serde(default)]
     pub models: Vec<String>,
-    /// The organisations that may call it.
+    /// The organisations that may call the service.
     #[serde(deserialize_with = "unique_organisations")]
     pub organisations: BTreeMap<Organisation, Member>,
-    /// Which requests must never be repeated.
+    /// The requests that must not be sent more than once.
     #[serde(default)]
     pub never_repeat: Vec<Pattern>,
     /// Limits on requests.
     #[serde(default)]
     pub limits: Limits,
-    /// Limits on upstreams.
+    /// Limits on the concurrency of each upstream.
     pub slots: SlotLimits,
-    /// Organisations by token digest; thousands of them are looked up in with every request.
+    /// The organisations by token digest. Every request looks up its token, and there may be
+    /// thousands of digests.
     #[serde(skip)]
     by_digest: HashMap<String, Organisation>,
 }
 
 impl Document {
-    /// Parses and checks a document.
+    /// Parses and validates a document.
     ///
     /// # Errors
     ///
-    /// Returns [`Code::DocumentInvalid`] with the place and what is expected there.
+    /// Returns [`Code::DocumentInvalid`] with the location of the error and what is expected there.
     pub fn parse(text: &str) -> Result<Document, CodedError> {
         let invalid = |detail| CodedError::new(Code::DocumentInvalid, detail);
         if text.len() > MAX_DOCUMENT_LEN {
@@ -169,7 +173,7 @@
         Ok(document)
     }
 
-    /// Finds the organisation a bearer token belongs to.
+    /// Returns the organisation that a bearer token belongs to.
     pub fn organisation_of(&self, token: &str) -> Option<&Organisation> {
         self.by_digest.get(&sha256_hex(token.as_bytes()))
     }
@@ -182,12 +186,12 @@
         self.by_digest = digests.collect();
     }
 
-    /// Tells whether a request must never be repeated.
+    /// Returns whether a request must not be sent more than once.
     pub fn must_not_repeat(&self, method: &str, path: &str) -> bool {
         self.never_repeat.iter().any(|pattern| pattern.matches(method, path))
     }
 
-    /// Returns an organisation's share, 1 for one the document does not name.
+    /// Returns the share of an organisation, or 1 if the document does not list it.
     pub fn share(&self, organisation: &Organisation) -> u32 {
         self.organisations.get(organisation).map_or(1, |member| member.share)
     }
@@ -219,10 +223,10 @@
         let mut tags = BTreeMap::new();
         for (name, member) in &self.organisations {
             if let Some(other) = tags.insert(name.tag(), name) {
-                // One of four thousand million pairs of names; service of one would be counted
-                // as the other's.
+                // Tags are 32-bit checksums of names, so one pair of names in 2^32 collides.
+                // Service received by one organisation would then be counted for the other.
                 return Err(format!(
-                    "organisations: {other} and {name} can't be told apart by tag"
+                    "organisations: {other} and {name} have the same tag; rename one of them"
                 ));
             }
             if !is_valid_name(name.as_str()) {
@@ -240,7 +244,7 @@
                 }
                 if !digests.insert(digest) {
                     return Err(format!(
-                        "organisations.{name}.token_digests: a digest stands twice"
+                        "organisations.{name}.token_digests: a digest is listed more than once"
                     ));
                 }
             }
@@ -253,12 +257,12 @@
             let inner_star = pattern.path.trim_end_matches('*').contains('*');
             if !pattern.path.starts_with('/') || inner_star || pattern.path.ends_with("**") {
                 return Err(format!(
-                    "never_repeat[{i}].path: expected /path, with * at its end at most"
+                    "never_repeat[{i}].path: expected /path, with * only as the last character"
                 ));
             }
             if pattern.method.is_empty() || !pattern.method.bytes().all(|b| b.is_ascii_uppercase())
             {
-                return Err(format!("never_repeat[{i}].method: expected a method in capitals"));
+                return Err(format!("never_repeat[{i}].method: expected a method in upper case"));
             }
             if let Some(j) = self.never_repeat[..i].iter().position(|other| other.overlaps(pattern))
             {
@@ -269,8 +273,8 @@
     }
 }
 
-/// Reads the organisations and refuses one that stands twice: a plain map would keep the last and
-/// silently drop the share its author wrote first.
+/// Deserializes the organisations and rejects duplicate names. Deserializing into a plain map
+/// would keep the last entry and silently drop the others.
 fn unique_organisations<'de, D>(deserializer: D) -> Result<BTreeMap<Organisation, Member>, D::Error>
 where
     D: Deserializer<'de>,
--- a/src/kingcupgrade/core/mod.rs
+++ b/src/kingcupgrade/core/mod.rs
@@ -1,7 +1,7 @@
-//! Types every other layer shares: time, names, result codes, settings and documents.
+//! Types shared by all other layers: time, names, result codes, settings and documents.
 //!
-//! They live apart from the state machines because a daemon, the operator's tool and an
-//! embedding program all need them, while only the daemon needs the machines.
+//! They are kept apart from the state machines because the daemon, the operator's command line and
+//! embedding programs all need them, while only the daemon needs the state machines.
 
 pub mod clock;
 pub mod code;
