--- a/src/kingcupgrade/core/configuration.rs
+++ b/src/kingcupgrade/core/configuration.rs
@@ -1,7 +1,8 @@
-//! A whole configuration under one version: routes, services, organisations, limits.
+//! A complete configuration under a single version: routes, services, organisations and limits.
 //!
-//! Some users keep a document for each service; others replace everything at once under a growing
-//! version. This is the second form, decoded and checked, as entries route by it.
+//! A fleet is configured either by one document per service or by a complete configuration that
+//! is replaced as a whole under an increasing version. This module holds the second form, decoded
+//! and validated, with the indexes by which entries route requests.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -13,96 +14,99 @@
     code::{Code, CodedError},
 };
 
-/// What may be repeated of a route's requests, and what their answers are.
+/// Whether the requests of a route may be retried, and the form of their answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// The answer is a series of events.
+    /// The answer is a stream of events.
     Stream {
-        /// Whether a broken answer may be resumed elsewhere after its last whole event.
+        /// Whether an answer that breaks off may be resumed on another upstream after its last
+        /// complete event.
         resumable: bool,
     },
-    /// Idempotent: may run more than once.
+    /// Idempotent: a request may run more than once.
     Safe,
-    /// Must run at most once.
+    /// Not idempotent: a request must run at most once.
     Unsafe,
 }
 
 impl RouteKind {
-    /// Tells whether a request may be sent again after it may have run.
+    /// Returns whether a request that may already have run may be sent again.
     pub fn is_idempotent(self) -> bool {
         matches!(self, RouteKind::Safe | RouteKind::Stream { resumable: true })
     }
 }
 
-/// A route from a host and path to services.
+/// A route from a host and a path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, unique in the configuration.
+    /// Its name, unique within the configuration.
     pub name: String,
-    /// The host it serves.
+    /// The host that it matches.
     pub host: String,
-    /// The beginning of the paths it serves; begins and ends with a slash.
+    /// The path prefix that it matches. It starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried, and the form of their answers.
     pub kind: RouteKind,
-    /// The longest time a request is kept.
+    /// The maximum time from the arrival of a request to the end of its answer.
     pub timeout: Millis,
-    /// Until when the first byte of an answer should be there.
+    /// The target time to the first byte of an answer.
     pub target: Millis,
-    /// The longest pause between the events of an answer that counts as on time.
+    /// The longest pause between two events of an answer that still counts as on time.
     pub max_gap: Millis,
-    /// Its rank, 0 the most urgent.
+    /// The priority of its requests; 0 is the highest.
     pub rank: u32,
-    /// The services it leads to, with weights of which one at least is not 0.
+    /// The services that its requests are distributed over, with their weights. At least one
+    /// weight is not 0.
     pub targets: Vec<(Service, u32)>,
-    /// How many upstreams one request may be sent to.
+    /// The maximum number of upstreams that one request is sent to.
     pub max_attempts: u32,
-    /// Whether it needs no key.
+    /// Whether callers need no key.
     pub is_public: bool,
 }
 
-/// What a model engine is made for.
+/// The capacity of a model engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineLimits {
-    /// Requests in one batch.
+    /// The number of requests in one batch.
     pub slots: u32,
-    /// Memory for tokens.
+    /// The capacity of its key-value cache, in tokens.
     pub kv_capacity: u64,
-    /// Tokens in one event.
+    /// The number of tokens in one event.
     pub stride: u32,
 }
 
-/// A service.
+/// The configuration of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServicePlan {
     /// Its name.
     pub name: Service,
-    /// Connections an upstream accepts from all callers together.
+    /// The number of connections that one upstream accepts from all clients together.
     pub max_connections: u32,
     /// How long an upstream is cold after its start.
     pub cold_span: Millis,
-    /// Requests a second that a cold upstream bears.
+    /// The rate of requests that a cold upstream can serve, per second.
     pub cold_per_s: f64,
-    /// The engine, if its upstreams are model engines.
+    /// The capacity of its engines, if its upstreams are model engines.
     pub engine: Option<EngineLimits>,
 }
 
-/// What callers may send.
+/// Limits on callers' connections and requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of a request head.
+    /// The maximum size of a request head, in bytes.
     pub max_head_len: usize,
-    /// Bytes of a request body.
+    /// The maximum size of a request body, in bytes.
     pub max_body_len: usize,
-    /// How long a request head may take.
+    /// How long a request head may take to arrive.
     pub head_timeout: Millis,
     /// How long a connection may stay idle.
     pub idle_timeout: Millis,
-    /// Tokens a second that all engines make together: each one read once, each generated twice.
+    /// The throughput of all engines together, in tokens per second. A prompt token counts once
+    /// and a generated token twice.
     pub tokens_per_s: f64,
 }
 
-/// An organisation with its keys.
+/// The API keys of one organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenancy {
     /// The organisation.
@@ -111,7 +115,7 @@
     pub keys: Vec<String>,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug)]
 pub struct Configuration {
     /// Its version.
@@ -120,22 +124,23 @@
     pub routes: Vec<Arc<Route>>,
     /// The services.
     pub services: BTreeMap<Service, ServicePlan>,
-    /// Whether callers need a key on routes that are not public.
+    /// Whether callers need a key for routes that are not public.
     pub needs_keys: bool,
     /// The limits.
     pub limits: Limits,
+    /// Indexes into `routes` by host, longest path prefix first.
     by_host: HashMap<String, Vec<usize>>,
     by_key: HashMap<String, Organisation>,
 }
 
 impl Configuration {
-    /// Checks the parts and puts them together.
+    /// Validates the parts and builds the configuration from them.
     ///
     /// # Errors
     ///
-    /// Returns [`Code::DocumentInvalid`] with the place and what is wrong: an unknown service, two
-    /// routes for one host and prefix, weights that add up to 0, a timeout of 0, or a key that two
-    /// organisations share.
+    /// Returns [`Code::DocumentInvalid`] with the location and the cause: an unknown service, two
+    /// routes with the same host and prefix, weights that add up to 0, a timeout of 0, or a key
+    /// that belongs to two organisations.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -145,11 +150,11 @@
     ) -> Result<Configuration, CodedError> {
         let services: BTreeMap<Service, ServicePlan> =
             services.into_iter().map(|plan| (plan.name.clone(), plan)).collect();
-        let mut places = BTreeSet::new();
+        let mut prefixes = BTreeSet::new();
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
             check_route(route, &services)?;
-            if !places.insert((&route.host, &route.path_prefix)) {
+            if !prefixes.insert((&route.host, &route.path_prefix)) {
                 return Err(invalid(format!(
                     "route {}: another route has host {} and prefix {}",
                     route.name, route.host, route.path_prefix
@@ -162,46 +167,46 @@
         }
         let routes = routes.into_iter().map(Arc::new).collect();
         let needs_keys = tenancies.is_some();
-        let by_key = file_keys(tenancies.unwrap_or_default())?;
+        let by_key = index_keys(tenancies.unwrap_or_default())?;
         Ok(Configuration { version, routes, services, needs_keys, limits, by_host, by_key })
     }
 
-    /// Returns the route of a host and path, the one with the longest prefix.
+    /// Returns the route that matches a host and path. The longest matching prefix wins.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let indexes = self.by_host.get(host)?;
         let mut routes = indexes.iter().map(|index| &self.routes[*index]);
         routes.find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Returns the organisation that holds a key.
+    /// Returns the organisation that a key belongs to.
     pub fn organisation_of(&self, key: &str) -> Option<&Organisation> {
         self.by_key.get(key)
     }
 }
 
 fn check_route(route: &Route, services: &BTreeMap<Service, ServicePlan>) -> Result<(), CodedError> {
-    let place = &route.name;
+    let name = &route.name;
     if let Some((service, _)) = route.targets.iter().find(|(name, _)| !services.contains_key(name))
     {
-        return Err(invalid(format!("route {place}: no service is named {service}")));
+        return Err(invalid(format!("route {name}: unknown service {service}")));
     }
     if route.targets.iter().all(|(_, weight)| *weight == 0) {
-        return Err(invalid(format!("route {place}: the weights add up to 0")));
+        return Err(invalid(format!("route {name}: expected at least one weight above 0")));
     }
     if route.timeout == Millis::ZERO {
-        return Err(invalid(format!("route {place}: the timeout is 0")));
+        return Err(invalid(format!("route {name}: expected a timeout above 0")));
     }
     Ok(())
 }
 
-fn file_keys(tenancies: Vec<Tenancy>) -> Result<HashMap<String, Organisation>, CodedError> {
+fn index_keys(tenancies: Vec<Tenancy>) -> Result<HashMap<String, Organisation>, CodedError> {
     let mut by_key: HashMap<String, Organisation> = HashMap::new();
     for tenancy in tenancies {
         for key in tenancy.keys {
-            let holder = by_key.insert(key, tenancy.organisation.clone());
-            if let Some(holder) = holder.filter(|holder| *holder != tenancy.organisation) {
-                let names = format!("{holder} and {}", tenancy.organisation);
-                return Err(invalid(format!("{names} share a key")));
+            let owner = by_key.insert(key, tenancy.organisation.clone());
+            if let Some(owner) = owner.filter(|owner| *owner != tenancy.organisation) {
+                let names = format!("{owner} and {}", tenancy.organisation);
+                return Err(invalid(format!("organisations {names} have a key in common")));
             }
         }
     }
