--- a/src/kingcupgrade/core/clock.rs
+++ b/src/kingcupgrade/core/clock.rs
@@ -1,7 +1,7 @@
-//! The one type for time.
+//! Time in milliseconds, and the monotonic clock.
 //!
-//! State machines receive the time as an argument and never read a clock, so that a test
-//! decides what time it is. Only the threads around them call [`Clock::now`].
+//! State machines receive the current time as an argument and never read a clock, so that tests
+//! control the time. Only the threads that drive them call [`Clock::now`].
 
 use std::{
     fmt,
@@ -11,23 +11,23 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time or a span of it, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 ///
-/// Points count from the start of the process and mean nothing to another process.
+/// Points in time count from the start of the process, so they have no meaning in another process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The zero point.
+    /// The start of the process, or a duration of zero.
     pub const ZERO: Millis = Millis(0);
 
-    /// Returns how long ago `earlier` was, zero if it lies ahead.
+    /// Returns the time that has passed since `earlier`, or zero if `earlier` is in the future.
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the span as a [`Duration`].
+    /// Converts the duration to a [`Duration`].
     pub fn as_duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
@@ -57,15 +57,15 @@
 
 /// The monotonic clock of this process.
 ///
-/// It keeps running while the process is stopped by a signal, which is what lets a thawed
-/// lease holder notice that its lease has ended.
+/// It keeps running while the process is stopped by a signal. A lease holder that is resumed can
+/// therefore detect that its lease has expired.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// Starts a clock at zero.
+    /// Creates a clock that starts at zero.
     pub fn start() -> Clock {
         Clock { start: Instant::now() }
     }
