--- a/src/kingcupgrade/core/fleet.rs
+++ b/src/kingcupgrade/core/fleet.rs
@@ -1,7 +1,7 @@
-//! What a process of a fleet that finds itself is told at its start.
+//! Settings of a process in a fleet with dynamic membership.
 //!
-//! Nothing here lists the fleet: a process knows a few control instances by address and learns the
-//! others from them.
+//! The settings do not list the instances of the fleet. A process starts with the addresses of a
+//! few control instances and discovers the other instances through them.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -13,45 +13,46 @@
 /// The settings of one process.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Its address; other instances reach it there.
+    /// The address at which other instances reach it.
     pub ip: IpAddr,
-    /// What it does.
+    /// The role of this instance.
     pub role: Role,
-    /// Its failure domain.
+    /// The failure domain in which it runs.
     pub failure_domain: FailureDomain,
     /// The port on which entries listen for other instances.
     pub entry_port: u16,
     /// The port on which control instances listen for other instances.
     pub control_port: u16,
-    /// Control instances known from the start.
+    /// The addresses of the control instances that are contacted first.
     pub seeds: Vec<IpAddr>,
-    /// Where callers connect; needed by entries.
+    /// The address for callers; required for entries.
     pub caller_address: Option<SocketAddr>,
-    /// Where the balancer asks whether this entry takes callers; needed by entries.
+    /// The address at which the load balancer checks whether this entry accepts callers; required
+    /// for entries.
     pub ready_address: Option<SocketAddr>,
-    /// Where operators connect; needed by control instances.
+    /// The address for operators; required for control instances.
     pub operator_address: Option<SocketAddr>,
-    /// Where the platform's list of upstreams is served; needed by entries.
+    /// The address of the platform's list of upstreams; required for entries.
     pub listing_address: Option<SocketAddr>,
-    /// Where metrics are served, if anywhere.
+    /// The address at which metrics are served; `None` disables them.
     pub metrics_address: Option<SocketAddr>,
-    /// Calls a second that the list bears from the whole fleet.
+    /// The rate of calls to the list that the whole fleet may make, per second.
     pub listing_rate: f64,
-    /// The data folder; needed by control instances.
+    /// The data folder; required for control instances.
     pub data: Option<PathBuf>,
     /// Whether the whole fleet starts for the first time, with empty disks.
     pub is_first_start: bool,
-    /// Losses of control instances that the record must bear at once.
+    /// The number of simultaneous failures of control instances that the record must tolerate.
     pub tolerated_losses: usize,
-    /// How long a process may take to stop.
+    /// How long a process may take to shut down.
     pub grace: Millis,
-    /// Repeats allowed for each request of callers.
+    /// The retry budget: retries allowed per request of callers.
     pub retry_ratio: f64,
-    /// Repeats allowed beyond that in one window, by the whole fleet.
+    /// Retries that the whole fleet may make in one window in addition to `retry_ratio`.
     pub retry_slack: f64,
     /// The window of the retry budget.
     pub retry_window: Millis,
-    /// File descriptors for sockets.
+    /// The number of file descriptors available for sockets.
     pub max_sockets: usize,
 }
 
@@ -61,7 +62,8 @@
         name_of(self.role, self.ip)
     }
 
-    /// Returns where an instance listens for others, if its name tells.
+    /// Returns the address at which an instance listens for other instances, or `None` if its name
+    /// does not contain a role and an address.
     pub fn address_of(&self, instance: &Instance) -> Option<SocketAddr> {
         let (role, ip) = parse_name(instance)?;
         let port = match role {
@@ -71,22 +73,22 @@
         Some(SocketAddr::new(ip, port))
     }
 
-    /// Returns how many replicas of the record vote, so that a majority is left after the losses
-    /// that must be borne.
+    /// Returns the number of voting replicas of the record: enough that a majority remains after
+    /// the failures that must be tolerated.
     pub fn voters(&self) -> usize {
         2 * self.tolerated_losses + 1
     }
 
-    /// Returns the control instances known from the start.
+    /// Returns the control instances at the seed addresses.
     pub fn seed_instances(&self) -> Vec<Instance> {
         self.seeds.iter().map(|ip| name_of(Role::Control, *ip)).collect()
     }
 }
 
-/// Returns the name of the instance with this role at an address.
+/// Returns the name of the instance with the given role and address.
 ///
-/// A process is told addresses only, so names are made of them: two processes that know the same
-/// address know the same instance without asking.
+/// Settings contain addresses only, so names are derived from them. Two processes that know the
+/// same address therefore use the same name without communicating.
 pub fn name_of(role: Role, ip: IpAddr) -> Instance {
     let prefix = match role {
         Role::Entry => 'e',
@@ -105,7 +107,7 @@
     Some((role, ip.parse().ok()?))
 }
 
-/// Returns the role that an instance's name tells.
+/// Returns the role contained in the name of an instance.
 pub fn role_of(instance: &Instance) -> Option<Role> {
     parse_name(instance).map(|(role, _)| role)
 }
