--- a/src/kingcupgrade/core/names.rs
+++ b/src/kingcupgrade/core/names.rs
@@ -1,13 +1,14 @@
-//! Names, one type for each kind, so that an instance is never passed where an upstream is meant.
+//! Names, with one type for each kind of named object. The compiler then rejects, for example, an
+//! instance passed in place of an upstream.
 
 use std::{borrow::Borrow, fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name accepted, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
-/// Tells whether `name` may be used as a name: letters, digits, `-`, `_` and `.`, 1 to 64 bytes.
+/// Returns whether `name` is valid: 1 to 64 bytes of ASCII letters, digits, `-`, `_` and `.`.
 pub fn is_valid_name(name: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     !name.is_empty() && name.len() <= MAX_NAME_LEN && name.bytes().all(allowed)
@@ -21,7 +22,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Returns the name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -48,28 +49,29 @@
 }
 
 name_type!(
-    /// A process of the fleet.
+    /// The name of a process of the fleet.
     Instance
 );
 name_type!(
-    /// A zone whose machines fail or are taken out together.
+    /// The name of a group of hosts that fail, or are taken out of service, together.
     FailureDomain
 );
 name_type!(
-    /// A customer with a share of the capacity.
+    /// The name of a customer that has a share of the capacity.
     Organisation
 );
 name_type!(
-    /// A service with a document of its own.
+    /// The name of a service.
     Service
 );
 name_type!(
-    /// A back end that runs requests.
+    /// The name of a server that runs requests.
     UpstreamName
 );
 
-/// A short name of an organisation, the same wherever it is worked out. A document refuses two
-/// organisations with one tag, so within a service it stands for its organisation.
+/// A short identifier of an organisation: the CRC-32 checksum of its name, so that all instances
+/// compute the same tag. A document with two organisations of the same tag is rejected, so a tag
+/// identifies an organisation within a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OrganisationTag(u32);
