--- a/src/kingcupgrade/core/settings.rs
+++ b/src/kingcupgrade/core/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one instance, read from YAML and checked whole before anything starts.
+//! The settings of one instance, read from YAML and validated as a whole before anything starts.
 
 use std::{collections::BTreeSet, fs, net::SocketAddr, path::Path, path::PathBuf};
 
@@ -9,35 +9,35 @@
     names::{FailureDomain, Instance, is_valid_name},
 };
 
-/// The shortest fleet key accepted, in bytes.
+/// The minimum length of a fleet key, in bytes.
 const MIN_FLEET_KEY_LEN: usize = 16;
 
-/// What an instance does.
+/// The role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes callers' requests and may hold dispatcher leases.
+    /// Accepts callers' requests and may hold dispatcher leases.
     Entry,
-    /// Keeps a replica of the durable record.
+    /// Stores a replica of the durable record.
     Control,
 }
 
-/// Another instance of the fleet, as the settings name it.
+/// An instance of the fleet, as listed in the settings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
     /// Its name.
     pub instance: Instance,
-    /// Where it listens for other instances.
+    /// The address at which it listens for other instances.
     pub address: SocketAddr,
-    /// The failure domain it runs in.
+    /// The failure domain in which it runs.
     pub failure_domain: FailureDomain,
-    /// What it does.
+    /// Its roles.
     pub roles: Vec<Role>,
 }
 
 impl Peer {
-    /// Tells whether the peer has `role`.
+    /// Returns whether the peer has `role`.
     pub fn has_role(&self, role: Role) -> bool {
         self.roles.contains(&role)
     }
@@ -47,26 +47,27 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The name of this instance; `peers` lists it too.
+    /// The name of this instance, which must also be listed in `peers`.
     pub instance: Instance,
-    /// All instances of the fleet, this one included.
+    /// All instances of the fleet, including this one.
     pub peers: Vec<Peer>,
-    /// Where callers connect; needed by entries.
+    /// The address for callers; required for entries.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub caller_address: Option<SocketAddr>,
-    /// Where operators, metrics and health checks connect.
+    /// The address for operators, metrics and health checks.
     pub operator_address: SocketAddr,
-    /// The data folder; needed by control instances.
+    /// The data folder; required for control instances.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data: Option<PathBuf>,
-    /// The secret all instances of the fleet share.
+    /// The secret shared by all instances of the fleet.
     pub fleet_key: String,
     /// The URL of the platform's list of upstreams.
     pub platform_list: String,
-    /// How many callers' requests may be open at once.
+    /// The maximum number of concurrent requests of callers.
     #[serde(default = "default_max_requests")]
     pub max_requests: usize,
-    /// Shares slots by a fixed assignment instead of by dispatchers; the baseline for measurements.
+    /// Whether slots are assigned to entries statically instead of by dispatchers. Static
+    /// assignment is the baseline that measurements compare with.
     #[serde(default)]
     pub static_shares: bool,
 }
@@ -76,11 +77,12 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Returns [`Code::SettingsInvalid`] with file, place and what is expected.
+    /// Returns [`Code::SettingsInvalid`] with the file, the location of the error and what is
+    /// expected there.
     pub fn load(path: &Path) -> Result<Settings, CodedError> {
         let text = fs::read_to_string(path).map_err(|err| {
             CodedError::new(Code::SettingsInvalid, format!("{}: {err}", path.display()))
@@ -89,11 +91,11 @@
             .map_err(|err| CodedError::new(err.code, format!("{}: {}", path.display(), err.detail)))
     }
 
-    /// Parses and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// Returns [`Code::SettingsInvalid`] with the place and what is expected there.
+    /// Returns [`Code::SettingsInvalid`] with the location of the error and what is expected there.
     pub fn parse(text: &str) -> Result<Settings, CodedError> {
         let settings: Settings = serde_norway::from_str(text)
             .map_err(|err| CodedError::new(Code::SettingsInvalid, err.to_string()))?;
@@ -103,21 +105,21 @@
         }
     }
 
-    /// Returns this instance's own line among the peers.
+    /// Returns the entry of this instance in `peers`.
     ///
     /// # Panics
     ///
-    /// Panics if the settings were not checked and do not list the instance.
+    /// Panics if the settings were not validated and do not list the instance.
     pub fn own(&self) -> &Peer {
-        self.peer(&self.instance).expect("checked settings list the instance among its peers")
+        self.peer(&self.instance).expect("validated settings list the instance in `peers`")
     }
 
-    /// Finds a peer by name.
+    /// Returns the peer with the given name.
     pub fn peer(&self, instance: &Instance) -> Option<&Peer> {
         self.peers.iter().find(|peer| peer.instance == *instance)
     }
 
-    /// Lists the peers with `role`.
+    /// Returns the peers that have `role`.
     pub fn with_role(&self, role: Role) -> impl Iterator<Item = &Peer> {
         self.peers.iter().filter(move |peer| peer.has_role(role))
     }
@@ -126,7 +128,7 @@
         self.check_peers()?;
         let own = self.own();
         if own.has_role(Role::Entry) && self.caller_address.is_none() {
-            return Err("caller_address: an entry needs an address for callers".to_owned());
+            return Err("caller_address: required for an entry".to_owned());
         }
         if own.has_role(Role::Control) && self.data.is_none() {
             return Err("data: a control instance needs a data folder".to_owned());
