--- a/src/kingcupgrade/protocol/mod.rs
+++ b/src/kingcupgrade/protocol/mod.rs
@@ -1,7 +1,7 @@
-//! What instances say to each other and to operators, and how it is put into bytes.
+//! The messages exchanged between instances and with operators, and their encoding.
 //!
-//! Messages are typed and small: field names are one or two letters on the wire, since control
-//! traffic has a budget of 26 KB a second and instance.
+//! Messages are typed. Field names have one or two letters on the wire to keep messages small,
+//! because control traffic is limited to 26 KB per second and instance.
 
 pub mod consensus;
 pub mod dispatch;
@@ -16,7 +16,7 @@
 
 use crate::core::{FailureDomain, Service};
 
-/// The upstreams of one service in one failure domain.
+/// Identifies the pool of upstreams of one service in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Pool(
     /// The service.
@@ -34,25 +34,25 @@
 /// A message from one instance to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// About leases on pools.
+    /// A message about dispatcher leases on pools.
     #[serde(rename = "l")]
     Lease(lease::LeaseMessage),
-    /// Between entries and dispatchers, and among dispatchers.
+    /// A message between an entry and a dispatcher, or between dispatchers.
     #[serde(rename = "d")]
     Dispatch(dispatch::DispatchMessage),
-    /// Among the replicas of the durable record.
+    /// A message between replicas of the durable record.
     #[serde(rename = "c")]
     Consensus(consensus::ConsensusMessage),
-    /// Between entries and the durable record.
+    /// A message between an instance and the durable record.
     #[serde(rename = "r")]
     Record(record::RecordMessage),
-    /// Among the instances of a fleet that finds itself.
+    /// A message between instances of a fleet with dynamic membership.
     #[serde(rename = "f")]
     Fleet(fleet::FleetMessage),
 }
 
 impl Message {
-    /// Returns what kind of message it is, for counting.
+    /// Returns the kind of the message, by which metrics count messages.
     pub fn kind(&self) -> &'static str {
         match self {
             Message::Lease(_) => "lease",
