--- a/src/kingcupgrade/protocol/consensus.rs
+++ b/src/kingcupgrade/protocol/consensus.rs
@@ -1,4 +1,4 @@
-//! Messages among the replicas of the durable record, and what their logs hold.
+//! Messages between the replicas of the durable record, and the entries of their logs.
 
 use std::fmt;
 
@@ -7,18 +7,20 @@
 use super::record::Command;
 use crate::core::{Instance, Millis};
 
-/// The replica number of the members a record begins with.
+/// The replica number of the initial members of a record.
 pub const FOUNDING_REPLICA: u64 = 1;
 
-/// A data folder's identity: an instance that lost its disk comes back as another replica.
+/// Identifies a replica by its instance and data folder. An instance that lost its disk returns as
+/// a new replica.
 ///
-/// A replica votes and acknowledges from what its disk holds. If an emptied disk came back under
-/// the old identity, it could vote a second time in a term and deny entries it acknowledged.
+/// A replica votes and acknowledges entries based on what is stored on its disk. If it returned
+/// with an empty disk under its old identity, it could vote twice in the same term and lack entries
+/// that it has acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId(
     /// The instance.
     pub Instance,
-    /// The number of its data folder.
+    /// The number that identifies the data folder among those of the instance.
     pub u64,
 );
 
@@ -31,24 +33,24 @@
 /// A member of the record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its identity.
+    /// The replica.
     #[serde(rename = "i")]
     pub id: ReplicaId,
-    /// Whether it votes; one that does not is catching up.
+    /// Whether the member votes. A non-voting member is still catching up with the log.
     #[serde(rename = "v")]
     pub voter: bool,
 }
 
-/// What an entry of the log holds.
+/// The payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; a new leader commits it to learn what is committed.
+    /// No change. A new leader commits such an entry to learn which entries are committed.
     #[serde(rename = "n")]
     Noop,
-    /// A change of the record.
+    /// A command to apply to the record.
     #[serde(rename = "c")]
     Command(Command),
-    /// The members from here on.
+    /// The members of the record from this entry on.
     #[serde(rename = "m")]
     Members(Vec<Member>),
 }
@@ -56,24 +58,25 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its place, from 1.
+    /// The index of the entry; the first entry has index 1.
     #[serde(rename = "i")]
     pub index: u64,
-    /// The term of the leader that made it.
+    /// The term of the leader that appended the entry.
     #[serde(rename = "t")]
     pub term: u64,
-    /// The leader's wall clock when it made it, in milliseconds since 1970.
+    /// The wall clock of the leader when it appended the entry, in milliseconds since the Unix
+    /// epoch.
     #[serde(rename = "w")]
     pub unix_ms: u64,
-    /// What it holds.
+    /// The payload.
     #[serde(rename = "p")]
     pub payload: Payload,
 }
 
-/// A place in a log.
+/// A position in a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
-    /// The term; positions compare by it first.
+    /// The term. Positions are ordered by term first, then by index.
     #[serde(rename = "t")]
     pub term: u64,
     /// The index.
@@ -81,16 +84,16 @@
     pub index: u64,
 }
 
-/// The record's state up to a position.
+/// The state of the record up to a position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry included.
+    /// The position of the last entry that the snapshot includes.
     #[serde(rename = "p")]
     pub position: Position,
-    /// The members at that entry.
+    /// The members as of that entry.
     #[serde(rename = "m")]
     pub members: Vec<Member>,
-    /// The state, encoded.
+    /// The encoded state.
     #[serde(rename = "d", with = "bytes")]
     pub data: Vec<u8>,
 }
@@ -98,117 +101,119 @@
 /// A message between replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConsensusMessage {
-    /// Who sent it.
+    /// The sender.
     #[serde(rename = "f")]
     pub from: ReplicaId,
-    /// Whom it is for; a message for an earlier data folder of an instance is dropped.
+    /// The receiver. An instance drops messages addressed to an earlier data folder of its own.
     #[serde(rename = "o")]
     pub to: ReplicaId,
-    /// The sender's term.
+    /// The current term of the sender.
     #[serde(rename = "t")]
     pub term: u64,
-    /// What it says.
+    /// The body.
     #[serde(rename = "b")]
     pub body: ConsensusBody,
 }
 
-/// What a [`ConsensusMessage`] says.
+/// The body of a [`ConsensusMessage`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConsensusBody {
-    /// Asks for a vote, or whether one would be given; asking disturbs nobody's term.
+    /// Requests a vote or, as a pre-vote, asks whether one would be granted. A pre-vote does not
+    /// change the term of any replica.
     #[serde(rename = "v")]
     Vote {
-        /// Whether it only asks.
+        /// Whether this is a pre-vote.
         #[serde(rename = "p")]
         pre: bool,
-        /// The end of the sender's log.
+        /// The position of the last entry in the sender's log.
         #[serde(rename = "l")]
         last: Position,
     },
     /// Answers [`ConsensusBody::Vote`].
     #[serde(rename = "w")]
     VoteReply {
-        /// Whether it answers a question only.
+        /// Whether this answers a pre-vote.
         #[serde(rename = "p")]
         pre: bool,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         #[serde(rename = "g")]
         granted: bool,
     },
-    /// The leader's entries, or none as a heartbeat.
+    /// Replicates entries of the leader's log. Without entries it serves as a heartbeat.
     #[serde(rename = "a")]
     Append {
-        /// The position before the first entry.
+        /// The position of the entry before the first one in `entries`.
         #[serde(rename = "p")]
         previous: Position,
-        /// The entries.
+        /// The entries to append.
         #[serde(rename = "e")]
         entries: Vec<LogEntry>,
-        /// The leader's commit index.
+        /// The commit index of the leader.
         #[serde(rename = "c")]
         commit: u64,
-        /// The leader's clock; the reply repeats it.
+        /// The time of sending by the leader's clock, echoed in the reply.
         #[serde(rename = "s")]
         sent: Millis,
-        /// How long ago a majority confirmed the leader.
+        /// The time since a majority last confirmed the leader.
         #[serde(rename = "g")]
         age: Millis,
     },
     /// Answers [`ConsensusBody::Append`].
     #[serde(rename = "b")]
     AppendReply {
-        /// Whether the entries fitted; then `index` is the last one known to match, and
-        /// otherwise a guess where to try next.
+        /// Whether the receiver's log contained the entry at `previous`.
         #[serde(rename = "k")]
         matched: bool,
-        /// See `matched`.
+        /// If `matched`, the last index known to match the leader's log; otherwise a guess of the
+        /// last index that matches, after which the leader tries next.
         #[serde(rename = "i")]
         index: u64,
-        /// The leader's clock as sent.
+        /// The value of `sent` in the message being answered.
         #[serde(rename = "s")]
         sent: Millis,
     },
-    /// A piece of the leader's snapshot.
+    /// A chunk of the leader's snapshot.
     #[serde(rename = "s")]
     Chunk {
-        /// The snapshot's position.
+        /// The position of the snapshot.
         #[serde(rename = "p")]
         position: Position,
-        /// Where the piece begins.
+        /// The offset of the chunk in the snapshot data, in bytes.
         #[serde(rename = "o")]
         offset: u64,
-        /// The piece.
+        /// The bytes of the chunk.
         #[serde(rename = "d", with = "bytes")]
         data: Vec<u8>,
-        /// Whether it is the last one.
+        /// Whether this is the last chunk.
         #[serde(rename = "l")]
         last: bool,
-        /// The leader's clock; the reply repeats it.
+        /// The time of sending by the leader's clock, echoed in the reply.
         #[serde(rename = "s")]
         sent: Millis,
     },
     /// Answers [`ConsensusBody::Chunk`].
     #[serde(rename = "r")]
     ChunkReply {
-        /// The snapshot's position.
+        /// The position of the snapshot.
         #[serde(rename = "p")]
         position: Position,
-        /// How much of it has been received.
+        /// The number of bytes of the snapshot received so far.
         #[serde(rename = "o")]
         received: u64,
-        /// The leader's clock as sent.
+        /// The value of `sent` in the message being answered.
         #[serde(rename = "s")]
         sent: Millis,
     },
-    /// Asks a caught-up voter to take over at once.
+    /// Transfers leadership: asks an up-to-date voter to start an election at once.
     #[serde(rename = "y")]
     TakeOver,
-    /// Tells the members of a replica that belongs to no record yet.
+    /// Announces to the members a replica that is not part of a record yet.
     #[serde(rename = "h")]
     Hello,
 }
 
-/// Encodes byte vectors as CBOR byte strings, half the size of the default list of numbers.
+/// Encodes byte vectors as CBOR byte strings, which take half the size of the default encoding as
+/// an array of numbers.
 mod bytes {
     use std::fmt;
 
