--- a/src/kingcupgrade/protocol/dispatch.rs
+++ b/src/kingcupgrade/protocol/dispatch.rs
@@ -1,8 +1,8 @@
-//! Messages between entries and dispatchers, and among the dispatchers of one service.
+//! Messages between entries and dispatchers, and between the dispatchers of one service.
 //!
-//! An entry and a dispatcher talk in a session. Its opening message carries everything the entry
-//! waits for and holds; later messages carry changes. Whatever is lost between them is repaired by
-//! opening the next session, so no message needs a delivery guarantee of its own.
+//! An entry and a dispatcher communicate in a session. The opening message carries the complete
+//! state of the entry: its queued requests and the grants it holds. Later messages carry changes.
+//! A lost message is repaired by opening a new session, so no message needs guaranteed delivery.
 
 use std::net::SocketAddr;
 
@@ -11,75 +11,76 @@
 use super::Pool;
 use crate::core::{FailureDomain, Instance, Organisation, OrganisationTag, UpstreamName};
 
-/// Names a session: the entry's process and a number that grows within it.
+/// Identifies a session by the process of the entry and a number that increases within it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Session(
-    /// A number that differs between two processes of one instance name.
+    /// The incarnation of the entry, which differs between successive processes of one instance.
     pub u64,
-    /// The number of the session within the process.
+    /// The sequence number of the session within the process.
     pub u64,
 );
 
 impl Session {
-    /// Returns the short name that messages within the session carry.
+    /// Returns the tag that messages within the session carry.
     pub fn tag(self) -> SessionTag {
         SessionTag(((self.0 & 0xffff) << 16) as u32 | (self.1 & 0xffff) as u32)
     }
 }
 
-/// The short name of a session, told apart from those of the same two instances.
+/// A shortened session identifier, made of the low 16 bits of both numbers. It distinguishes the
+/// sessions between one entry and one dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionTag(pub u32);
 
-/// Names a grant within its pool: the term of the dispatcher and a number within the term.
+/// Identifies a grant within its pool by the term of the dispatcher and a number within the term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantId(
-    /// The dispatcher's term.
+    /// The term of the dispatcher.
     pub u64,
-    /// The number within the term.
+    /// The sequence number within the term.
     pub u64,
 );
 
-/// Terms of static shares have this bit, so that their grants differ from a dispatcher's.
+/// The bit that marks the terms of static shares, so that their grants differ from a dispatcher's.
 pub const STATIC_TERM: u64 = 1 << 63;
 
 impl GrantId {
-    /// Tells whether the grant is of a static share.
+    /// Returns whether the grant belongs to a static share.
     pub fn is_static(self) -> bool {
         self.0 & STATIC_TERM != 0
     }
 }
 
-/// A slot of an upstream, given to an organisation's next request at an entry.
+/// A slot of an upstream, granted to the next request of an organisation at an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Its name.
+    /// The id of the grant.
     #[serde(rename = "i")]
     pub id: GrantId,
-    /// Whose request may use it.
+    /// The organisation whose request may use the slot.
     #[serde(rename = "o")]
     pub organisation: Organisation,
-    /// The upstream.
+    /// The upstream that has the slot.
     #[serde(rename = "u")]
     pub upstream: UpstreamName,
-    /// Where the upstream listens.
+    /// The address of the upstream.
     #[serde(rename = "a")]
     pub address: SocketAddr,
 }
 
-/// A grant an entry still uses when it opens a session.
+/// A grant that an entry is still using when it opens a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    /// Its name.
+    /// The id of the grant.
     #[serde(rename = "i")]
     pub id: GrantId,
-    /// Whose request uses it.
+    /// The organisation whose request uses the slot.
     #[serde(rename = "o")]
     pub organisation: Organisation,
-    /// The upstream.
+    /// The upstream that has the slot.
     #[serde(rename = "u")]
     pub upstream: UpstreamName,
-    /// The cost so far.
+    /// The cost of the request so far.
     #[serde(rename = "c")]
     pub cost: u32,
 }
@@ -87,96 +88,98 @@
 /// How the use of a grant ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ending {
-    /// The upstream answered whole.
+    /// The upstream sent a complete answer.
     #[serde(rename = "d")]
     Completed,
-    /// The entry had no request for it, or its caller hung up.
+    /// The entry had no request to use it for, or the caller disconnected.
     #[serde(rename = "u")]
     Unused,
-    /// The upstream refused the request as more than it can bear.
+    /// The upstream refused the request because it was overloaded.
     #[serde(rename = "r")]
     Refused,
-    /// The upstream failed to answer.
+    /// The upstream did not send a complete answer.
     #[serde(rename = "f")]
     Failed,
 }
 
-/// A grant whose use has ended.
+/// A grant that is no longer in use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finished {
-    /// Its name.
+    /// The id of the grant.
     #[serde(rename = "i")]
     pub id: GrantId,
-    /// How it ended.
+    /// How its use ended.
     #[serde(rename = "e")]
     pub ending: Ending,
-    /// What the request cost.
+    /// The total cost of the request.
     #[serde(rename = "c")]
     pub cost: u32,
-    /// Time from sending to the first byte of the answer, in milliseconds.
+    /// The time from sending the request to the first byte of its answer, in milliseconds.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub first_byte_ms: Option<u32>,
 }
 
-/// Requests of one organisation that wait at the sender.
+/// The number of requests of one organisation that are queued at the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Waiting(
     /// The organisation.
     pub Organisation,
-    /// How many wait.
+    /// The number of queued requests.
     pub u32,
 );
 
-/// Service an organisation received in one failure domain.
+/// The service that an organisation received in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Served(
     /// The organisation.
     pub OrganisationTag,
-    /// Service over share received in the sender's failure domain; it only grows.
+    /// The service received in the sender's failure domain, divided by the share. It never
+    /// decreases.
     pub i64,
-    /// The level the organisation was lifted to when it last became backlogged; it only grows.
+    /// The level to which the organisation's counter was raised when it last became backlogged. It
+    /// never decreases.
     pub i64,
 );
 
-/// A dispatcher of the same service that has slots for the sender's organisations.
+/// Another dispatcher of the same service that has free slots.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer(
-    /// Its failure domain.
+    /// The failure domain of the dispatcher.
     pub FailureDomain,
-    /// The instance that holds its lease.
+    /// The instance that holds the dispatcher's lease.
     pub Instance,
 );
 
-/// A message from an entry to a dispatcher, the other way, or between dispatchers.
+/// A message between an entry and a dispatcher, in either direction, or between dispatchers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DispatchMessage {
-    /// The pool it is about.
+    /// The pool that the message concerns.
     #[serde(rename = "p")]
     pub pool: Pool,
-    /// The term of the dispatcher it is for or from; zero where the sender knows none.
+    /// The term of the dispatcher that sends or receives the message; 0 if the sender knows none.
     #[serde(rename = "t")]
     pub term: u64,
-    /// The instance that wrote it, where another one has passed it on.
+    /// The original sender, if another instance forwarded the message.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<Instance>,
-    /// What it says.
+    /// The body.
     #[serde(rename = "b")]
     pub body: DispatchBody,
 }
 
-/// What a [`DispatchMessage`] says.
+/// The body of a [`DispatchMessage`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum DispatchBody {
-    /// Opens a session with all that waits and all that is held.
+    /// Opens a session with the complete state of the entry.
     #[serde(rename = "o")]
     Open {
         /// The session.
         #[serde(rename = "s")]
         session: Session,
-        /// All that waits.
+        /// The numbers of queued requests of all organisations.
         #[serde(rename = "w")]
         waiting: Vec<Waiting>,
-        /// All grants of the pool in use.
+        /// All grants of the pool that are in use.
         #[serde(rename = "h")]
         held: Vec<Held>,
     },
@@ -186,82 +189,85 @@
         /// The session.
         #[serde(rename = "s")]
         session: SessionTag,
-        /// Counts reports within the session, from 1.
+        /// The sequence number of the report within the session, starting at 1.
         #[serde(rename = "n")]
         seq: u64,
-        /// Grants received in the session so far; the counts below already leave them out.
+        /// The number of grants received in the session so far. The counts in `waiting` exclude
+        /// the requests that these grants serve.
         #[serde(rename = "k")]
         received: u64,
-        /// New counts of the organisations whose count changed.
+        /// The new numbers of queued requests of the organisations for which they changed.
         #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
         waiting: Vec<Waiting>,
-        /// Grants whose use has ended.
+        /// The grants that are no longer in use.
         #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
         finished: Vec<Finished>,
-        /// Grants that have cost more than expected so far.
+        /// The grants whose cost so far exceeds the expected cost, with that cost.
         #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
         progress: Vec<(GrantId, u32)>,
     },
-    /// Ends a session that has nothing left to say.
+    /// Closes a session that has nothing left to report.
     #[serde(rename = "x")]
     Close {
         /// The session.
         #[serde(rename = "s")]
         session: SessionTag,
     },
-    /// Gives slots.
+    /// Grants slots to an entry.
     #[serde(rename = "g")]
     Grants {
         /// The session.
         #[serde(rename = "s")]
         session: SessionTag,
-        /// The last report the dispatcher has received, zero for the opening.
+        /// The sequence number of the last report received; 0 for the opening message.
         #[serde(rename = "k")]
         heard: u64,
-        /// The slots.
+        /// The grants.
         #[serde(rename = "g")]
         grants: Vec<Grant>,
     },
-    /// Tells an entry that its session lives, how much was granted in it, and who else has slots.
+    /// Acknowledges a session to its entry, with the number of grants sent in it and the other
+    /// dispatchers that have free slots.
     #[serde(rename = "a")]
     Ack {
         /// The session.
         #[serde(rename = "s")]
         session: SessionTag,
-        /// Grants sent in the session so far; a larger count than received shows a loss.
+        /// The number of grants sent in the session so far. If the entry has received fewer, grants
+        /// were lost.
         #[serde(rename = "n")]
         granted: u64,
-        /// Other dispatchers with slots.
+        /// The other dispatchers with free slots.
         #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
         offers: Vec<Offer>,
     },
-    /// Asks an entry to open its next session.
+    /// Asks an entry to open a new session.
     #[serde(rename = "y")]
     Resync,
-    /// Tells another dispatcher of the service what was served here.
+    /// Reports the service received in this failure domain to another dispatcher of the service.
     #[serde(rename = "e")]
     Exchange {
-        /// Slots that nothing waits for.
+        /// The number of free slots, if no organisation is backlogged; 0 otherwise.
         #[serde(rename = "f")]
         free: u32,
-        /// The least counter among the backlogged, if any is.
+        /// The lowest counter among the backlogged organisations, if there are any.
         #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
         least: Option<i64>,
-        /// Service of the organisations that changed.
+        /// The service of the organisations for which it changed.
         #[serde(rename = "s")]
         served: Vec<Served>,
     },
-    /// Returns to a new dispatcher what is known of its failure domain's service.
+    /// Returns to a new dispatcher the known service of its failure domain.
     #[serde(rename = "k")]
     Recall {
-        /// Service received in the addressed failure domain.
+        /// The service received in the failure domain of the receiver.
         #[serde(rename = "s")]
         served: Vec<Served>,
     },
 }
 
 impl DispatchBody {
-    /// Returns what kind of message it is, for counting.
+    /// Returns the kind of the message, by which metrics count messages.
     pub fn kind(&self) -> &'static str {
         match self {
             DispatchBody::Open { .. } => "open",
