--- a/src/kingcupgrade/protocol/fleet.rs
+++ b/src/kingcupgrade/protocol/fleet.rs
@@ -1,4 +1,5 @@
-//! Messages by which instances find each other, and entries tell each other of their load.
+//! Messages for membership, and for the exchange of load and of the platform's listing among
+//! entries.
 
 use std::net::SocketAddr;
 
@@ -6,82 +7,82 @@
 
 use crate::core::{FailureDomain, Instance, Millis, Organisation, Service, UpstreamName};
 
-/// An entry as a control instance knows it.
+/// An entry and its failure domain, as listed in a roster.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resident(
     /// The entry.
     pub Instance,
-    /// Where it runs.
+    /// The failure domain in which it runs.
     pub FailureDomain,
 );
 
-/// An upstream as the platform lists it.
+/// An upstream in the platform's listing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedUpstream {
-    /// Its name, new with each start.
+    /// The name of the upstream, which changes with every start.
     #[serde(rename = "n")]
     pub name: UpstreamName,
-    /// Its service.
+    /// The service that it serves.
     #[serde(rename = "s")]
     pub service: Service,
-    /// Where it listens.
+    /// The address at which it listens.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain in which it runs.
     #[serde(rename = "d")]
     pub domain: FailureDomain,
-    /// Requests it runs at once.
+    /// The maximum number of concurrent requests.
     #[serde(rename = "l")]
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     #[serde(rename = "r")]
     pub is_ready: bool,
-    /// How long it stays cold.
+    /// How much longer it stays cold.
     #[serde(rename = "c")]
     pub cold: Millis,
-    /// The wall clock at its start, in milliseconds since 1970; 0 if not told.
+    /// The wall clock at its start, in milliseconds since the Unix epoch; 0 if unknown.
     #[serde(rename = "b")]
     pub born: u64,
 }
 
-/// What has changed in the platform's list of upstreams since it was told before.
+/// The changes in the platform's listing since an earlier reading, or the complete listing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListingNews {
-    /// Who read the list.
+    /// The entry that read the listing.
     #[serde(rename = "r")]
     pub reader: Instance,
-    /// How long ago.
+    /// The time since it was read.
     #[serde(rename = "g")]
     pub age: Millis,
-    /// The number of the reading that this builds on; 0 if it is the whole list.
+    /// The number of the reading to which the changes apply; 0 if this is the complete listing.
     #[serde(rename = "b")]
     pub base: u64,
-    /// Its number among those of its reader.
+    /// The number of this reading, unique for its reader.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Upstreams that are new or listed otherwise.
+    /// The upstreams that were added or changed.
     #[serde(rename = "u")]
     pub changed: Vec<ListedUpstream>,
-    /// Upstreams that are listed no more.
+    /// The upstreams that are no longer listed.
     #[serde(rename = "x")]
     pub gone: Vec<UpstreamName>,
 }
 
-/// What one entry has under way at one upstream.
+/// The load that one entry has put on one upstream.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests sent and not ended.
+    /// The number of requests in flight.
     #[serde(rename = "r")]
     pub running: u32,
-    /// Prompt tokens not read yet.
+    /// The number of prompt tokens that the upstream has not processed yet.
     #[serde(rename = "u")]
     pub unread: u64,
-    /// Tokens that the requests will hold in memory at their end.
+    /// The number of tokens that the requests will hold in memory when they end.
     #[serde(rename = "m")]
     pub memory: u64,
 }
 
-/// Parts of prompts that an upstream keeps.
+/// The parts of prompts that an upstream has in its cache.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeptParts(
     /// The upstream.
@@ -90,88 +91,90 @@
     pub Vec<u64>,
 );
 
-/// What one entry tells the others of its load.
+/// The load of one entry, as reported to other entries, or a sum of such reports.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Its place among the reports of its entry.
+    /// The sequence number of the report within its entry.
     #[serde(rename = "n")]
     pub number: u32,
-    /// Upstreams with something under way; all others have nothing.
+    /// The loads of upstreams. Upstreams that are not listed have no load.
     #[serde(rename = "l")]
     pub loads: Vec<(UpstreamName, Load)>,
-    /// Tokens served to each organisation of late, fading with time.
+    /// Tokens recently served to each organisation, as a decaying count.
     #[serde(rename = "s")]
     pub served: Vec<(Organisation, f32)>,
-    /// Tokens asked for by each organisation of late, fading with time.
+    /// Tokens recently requested by each organisation, as a decaying count.
     #[serde(rename = "a")]
     pub asked: Vec<(Organisation, f32)>,
-    /// Shared parts of prompts that upstreams keep since they were last told of.
+    /// Shared parts of prompts that upstreams have cached since the previous report.
     #[serde(rename = "k", default)]
     pub kept: Vec<KeptParts>,
-    /// Tokens refused to each organisation a moment ago, fading with time.
+    /// Tokens recently refused to each organisation, as a decaying count over a shorter time.
     #[serde(rename = "f", default)]
     pub refused: Vec<(Organisation, f32)>,
 }
 
-/// What all entries of the fleet have under way together.
+/// The load of all entries of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Total {
-    /// The sum of their reports.
+    /// The sum of the reports of all entries.
     #[serde(rename = "r")]
     pub report: LoadReport,
-    /// The numbers of the reports in it, of the entries of the receiver's failure domain.
+    /// The numbers of the included reports of entries in the receiver's failure domain. With its
+    /// own number, a receiver subtracts its own load from the sum.
     #[serde(rename = "p")]
     pub parts: Vec<(Instance, u32)>,
 }
 
-/// A message among the instances of a fleet that finds itself.
+/// A message between instances of a fleet with dynamic membership.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum FleetMessage {
-    /// Tells a control instance that the sender is there.
+    /// Announces the sender to a control instance.
     #[serde(rename = "j")]
     Join {
-        /// The sender's failure domain.
+        /// The failure domain of the sender.
         #[serde(rename = "d")]
         domain: FailureDomain,
-        /// Whether it is about to stop.
+        /// Whether the sender is shutting down.
         #[serde(rename = "x")]
         leaving: bool,
-        /// The number of the roster that the receiver told it last; 0 if none.
+        /// The number of the last roster received from the control instance; 0 if none.
         #[serde(rename = "k", default)]
         known: u64,
-        /// The wall clock at the start of the sender's process, in milliseconds since 1970.
+        /// The wall clock at the start of the sender's process, in milliseconds since the Unix
+        /// epoch.
         #[serde(rename = "b", default)]
         started: u64,
     },
-    /// Tells who is there.
+    /// Lists the members of the fleet.
     #[serde(rename = "o")]
     Roster {
-        /// Its place among the rosters of the sender.
+        /// The number of this roster, which increases with each change at the sender.
         #[serde(rename = "n", default)]
         number: u64,
-        /// Entries heard of late.
+        /// The entries from which the sender has received a message recently.
         #[serde(rename = "e")]
         entries: Vec<Resident>,
-        /// Control instances.
+        /// The known control instances.
         #[serde(rename = "c")]
         controls: Vec<Instance>,
     },
-    /// Tells that the same are there as in the roster of this number.
+    /// Confirms that the roster with this number is still current.
     #[serde(rename = "q")]
     SameRoster(u64),
-    /// Tells an entry of another one's load.
+    /// Reports the load of the sender to another entry.
     #[serde(rename = "l")]
     Load(LoadReport),
-    /// Tells the collectors of a failure domain of another one's load.
+    /// Reports the load of a whole failure domain to the collectors of the others.
     #[serde(rename = "s")]
     DomainSum(FailureDomain, LoadReport),
-    /// Tells the entries of a failure domain of the whole fleet's load.
+    /// Reports the load of the whole fleet to the entries of a failure domain.
     #[serde(rename = "t")]
     Total(Total),
-    /// Tells entries what the platform lists.
+    /// Sends the platform's listing, or its changes, to entries.
     #[serde(rename = "u")]
     Listing(ListingNews),
-    /// Asks for the whole of what the platform lists.
+    /// Requests the complete listing.
     #[serde(rename = "w")]
     ListingWanted,
 }
