--- a/src/kingcupgrade/protocol/lease.rs
+++ b/src/kingcupgrade/protocol/lease.rs
@@ -1,58 +1,59 @@
-//! Messages about dispatcher leases.
+//! Messages for dispatcher leases.
 
 use serde::{Deserialize, Serialize};
 
 use crate::core::Service;
 
-/// A lease asked for, granted or announced.
+/// A lease that is requested, granted or announced.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Claim(
-    /// The service whose pool in the sender's failure domain is meant.
+    /// The service of the pool; the failure domain is that of the sender.
     pub Service,
     /// The term of the lease.
     pub u64,
 );
 
-/// A message about the leases of one failure domain; one message carries many pools.
+/// A message about the leases of one failure domain. One message covers many pools.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum LeaseMessage {
     /// Asks a voter to grant or renew leases.
     #[serde(rename = "q")]
     Request {
-        /// Tells rounds of one sender apart; the reply repeats it.
+        /// The number of the sender's voting round, echoed in the reply.
         #[serde(rename = "r")]
         round: u64,
-        /// The leases asked for.
+        /// The requested leases.
         #[serde(rename = "p")]
         claims: Vec<Claim>,
     },
-    /// A voter's answer.
+    /// Answers a [`LeaseMessage::Request`], or an announcement if the sender does not vote.
     #[serde(rename = "a")]
     Reply {
-        /// The round of the request.
+        /// The round of the request; 0 if this answers an announcement.
         #[serde(rename = "r")]
         round: u64,
-        /// The leases granted.
+        /// The granted leases.
         #[serde(rename = "g")]
         granted: Vec<Claim>,
-        /// The leases refused, with the highest term the voter knows.
+        /// The refused leases, with the term of the voter's current vote.
         #[serde(rename = "n", default, skip_serializing_if = "Vec::is_empty")]
         refused: Vec<Claim>,
-        /// Services of which requests still run here under a static share.
+        /// The services for which the sender still runs requests under a static share.
         #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
         sharing: Vec<Service>,
     },
-    /// Tells who holds leases; an instance without a vote answers it as a request.
+    /// Announces the leases of the sender. Instances without a vote reply to it as voters reply to
+    /// a request.
     #[serde(rename = "h")]
     Announce {
-        /// The leases the sender holds.
+        /// The leases that the sender holds.
         #[serde(rename = "p")]
         claims: Vec<Claim>,
     },
-    /// Gives leases up, so that a successor needn't wait them out.
+    /// Releases leases, so that a successor does not have to wait until they expire.
     #[serde(rename = "x")]
     Release {
-        /// The leases given up.
+        /// The released leases.
         #[serde(rename = "p")]
         claims: Vec<Claim>,
     },
