--- a/src/kingcupgrade/protocol/operator.rs
+++ b/src/kingcupgrade/protocol/operator.rs
@@ -1,4 +1,4 @@
-//! What the operator's tool asks an instance, as JSON over HTTP.
+//! Requests from the operator's command line to an instance, as JSON over HTTP.
 
 use std::collections::BTreeMap;
 
@@ -11,37 +11,37 @@
 };
 use crate::core::{FailureDomain, Instance, Service, UpstreamName, code::CodedError};
 
-/// The path of operators' requests.
+/// The HTTP path of operator requests.
 pub const OPERATOR_PATH: &str = "/v1/operator";
 
-/// A request.
+/// A request to an instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
 pub enum OperatorRequest {
-    /// What the instance knows and does.
+    /// Returns the status of the instance.
     Status,
-    /// The document of a service in force at the instance.
+    /// Returns the document of a service that is in force at the instance.
     Document {
         /// The service.
         service: Service,
     },
-    /// The kept revisions of a document; only control instances have them.
+    /// Returns the stored revisions of a document. Only control instances have them.
     History {
         /// The service.
         service: Service,
     },
-    /// A change of the record.
+    /// Changes the record.
     Change {
-        /// The change.
+        /// The command to apply.
         command: Command,
     },
-    /// The members of the record; only control instances know them.
+    /// Returns the members of the record. Only control instances know them.
     Members,
-    /// The whole state of the record; only control instances have it.
+    /// Returns the complete state of the record. Only control instances have it.
     Backup,
 }
 
-/// An answer.
+/// An answer to an [`OperatorRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "kebab-case")]
 pub enum OperatorReply {
@@ -51,91 +51,92 @@
     Document(StoredDocument),
     /// Answers [`OperatorRequest::History`].
     History {
-        /// The revisions, the newest last.
+        /// The revisions, oldest first.
         revisions: Vec<StoredDocument>,
     },
     /// Answers [`OperatorRequest::Change`].
     Changed {
-        /// What the record answered.
+        /// The reply of the record.
         reply: Reply,
     },
     /// Answers [`OperatorRequest::Members`].
     Members {
         /// The members.
         members: Vec<Member>,
-        /// Who leads, if known.
+        /// The leader, if known.
         leader: Option<Instance>,
     },
     /// Answers [`OperatorRequest::Backup`].
     Backup(Backup),
-    /// The request can't be answered.
+    /// The request failed.
     Failed(CodedError),
 }
 
-/// The state of the record at one place.
+/// The state of the record up to an entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Backup {
-    /// The last entry included.
+    /// The index of the last included entry.
     pub index: u64,
-    /// Whether a majority confirmed of late that this is the newest.
+    /// Whether a majority recently confirmed that this is the newest state.
     pub confirmed: bool,
-    /// The state, encoded, in hex.
+    /// The encoded state, in hexadecimal.
     pub data: String,
 }
 
-/// What an instance knows and does.
+/// The status of an instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     /// The instance.
     pub instance: Instance,
-    /// Its failure domain.
+    /// The failure domain of the instance.
     pub failure_domain: FailureDomain,
-    /// The place in the record up to which its configuration reaches.
+    /// The index in the record of the newest change included in its configuration.
     pub index: u64,
-    /// Whether that was confirmed to be the newest of late.
+    /// Whether its configuration was recently confirmed to be the newest.
     pub fresh: bool,
     /// Whether it is shutting down.
     pub draining: bool,
-    /// Revisions in force, by service.
+    /// The revisions in force, by service.
     pub revisions: BTreeMap<Service, u64>,
-    /// Failure domains that were ever taken out.
+    /// The failure domains that have ever been taken out of service, with their current state.
     pub domains: Vec<Standing<FailureDomain>>,
-    /// Orders to upstreams that stand.
+    /// The orders to upstreams that are in force.
     pub orders: Vec<UpstreamOrder>,
-    /// Callers' requests open.
+    /// The number of open requests of callers.
     pub open_requests: usize,
-    /// The pools it dispatches.
+    /// The pools for which it is the dispatcher.
     pub pools: Vec<PoolStatus>,
-    /// Its part in the record, if it is a control instance.
+    /// The state of its replica of the record, if it is a control instance.
     pub control: Option<ControlStatus>,
 }
 
-/// A pool an instance dispatches.
+/// The status of a pool at its dispatcher.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PoolStatus {
     /// The service.
     pub service: Service,
-    /// The term of the lease; none for a static share.
+    /// The term of the lease; `None` for a static share.
     pub term: Option<u64>,
-    /// Organisations with requests waiting.
+    /// The number of organisations with queued requests.
     pub backlogged: usize,
-    /// How far orders to its upstreams are carried out: their number, and words for people.
+    /// The progress of the orders to its upstreams: the fencing number of each order and a
+    /// human-readable state.
     pub orders: BTreeMap<UpstreamName, (u64, String)>,
-    /// Requests in use and limit, by upstream.
+    /// The slots in use and the limit, by upstream.
     pub upstreams: BTreeMap<UpstreamName, (u32, u32)>,
 }
 
-/// A control instance's part in the record.
+/// The status of a control instance's replica of the record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ControlStatus {
     /// The current term.
     pub term: u64,
-    /// Who leads, if known.
+    /// The leader, if known.
     pub leader: Option<Instance>,
-    /// The last final entry.
+    /// The index of the last committed entry.
     pub commit: u64,
-    /// Request keys remembered.
+    /// The number of request keys in the record.
     pub keys: usize,
-    /// Why it has stopped taking part, if it has.
+    /// The failure because of which the replica no longer participates, if any.
     pub failure: Option<CodedError>,
 }
