--- a/src/kingcupgrade/coordination/orders.rs
+++ b/src/kingcupgrade/coordination/orders.rs
@@ -308,7 +308,7 @@
         let before = progress.stage;
         match answer {
             EngineAnswer::Setup(setup) => {
-                let (stage, pause) = match (setup.is(&progress.setup), setup.ready) {
+                let (stage, pause) = match (setup.matches(&progress.setup), setup.ready) {
                     (true, true) => (Stage::Settled, SETTLED_INTERVAL),
                     (true, false) => (Stage::Changing, CHANGING_INTERVAL),
                     // It was as ordered, or about to be, and strayed: what it answers now may be
--- a/src/kingcupgrade/protocol/order.rs
+++ b/src/kingcupgrade/protocol/order.rs
@@ -1,56 +1,58 @@
-//! Orders to engines: what is wanted of each, under a fencing number, and what engines answer.
+//! Orders to engines: the desired setup of each engine under a fencing number, and the answers.
 //!
-//! An order states the whole setup wanted, not a step, so that carrying it out twice does nothing
-//! and an engine that strayed is put right by the same order.
+//! An order is declarative: it contains the complete desired setup instead of a single step.
+//! Executing it again has no effect, and the same order corrects an engine whose setup has
+//! deviated from it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::core::{Code, UpstreamName, code::CodedError};
 
-/// The longest name of a model or role, in bytes.
+/// The maximum length of the name of a model or role, in bytes.
 const MAX_VALUE_LEN: usize = 200;
-/// The path at which engines take orders.
+/// The HTTP path at which engines accept orders.
 pub const ORDER_PATH: &str = "/orders";
-/// The path at which engines tell their setup.
+/// The HTTP path at which engines report their setup.
 pub const SETUP_PATH: &str = "/setup";
 
-/// The setup wanted of an engine; parts that are `None` are left as they are.
+/// The desired setup of an engine. Parts that are `None` are left unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Setup {
-    /// The model, adapter or version to hold.
+    /// The model, adapter or version to load.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     pub model: Option<String>,
-    /// The role to have.
+    /// The role to take.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub role: Option<String>,
-    /// Whether to run nothing.
+    /// Whether to be drained, which means to run no requests.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub drained: Option<bool>,
 }
 
-/// A change of the setup wanted.
+/// A change of the desired setup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SetupChange {
-    /// Hold this model.
+    /// Load this model.
     #[serde(rename = "m")]
     Load(String),
-    /// Have this role.
+    /// Take this role.
     #[serde(rename = "r")]
     Role(String),
-    /// Run nothing, or run again.
+    /// Drain the engine, or let it run requests again.
     #[serde(rename = "d")]
     Drained(bool),
-    /// Leave the engine as it is from now on.
+    /// Withdraw the order. The engine keeps its current setup.
     #[serde(rename = "w")]
     Withdraw,
 }
 
 impl SetupChange {
-    /// Checks the change.
+    /// Validates the change.
     ///
     /// # Errors
     ///
-    /// Returns [`Code::OrderInvalid`] if a name is empty, too long or not plain text.
+    /// Returns [`Code::OrderInvalid`] if a name is empty, too long or contains other bytes than
+    /// printable ASCII without spaces.
     pub fn check(&self) -> Result<(), CodedError> {
         let (SetupChange::Load(value) | SetupChange::Role(value)) = self else { return Ok(()) };
         let is_plain = value.bytes().all(|b| b.is_ascii_graphic());
@@ -63,12 +65,12 @@
 }
 
 impl Setup {
-    /// Tells whether nothing is wanted: the order was withdrawn.
+    /// Returns whether no setup is desired, because the order was withdrawn.
     pub fn is_empty(&self) -> bool {
         *self == Setup::default()
     }
 
-    /// Returns the setup after a change.
+    /// Returns the desired setup with a change applied.
     #[must_use]
     pub fn changed(&self, change: &SetupChange) -> Setup {
         let mut setup = self.clone();
@@ -82,52 +84,53 @@
     }
 }
 
-/// The order that stands for one upstream.
+/// The order in force for one upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamOrder {
     /// The upstream.
     #[serde(rename = "n")]
     pub upstream: UpstreamName,
-    /// What is wanted.
+    /// The desired setup.
     #[serde(rename = "s")]
     pub setup: Setup,
-    /// The place of its last change in the record, which is its fencing number: it only grows, and
-    /// no two orders have the same.
+    /// The index in the record of the last change of the order. It serves as the fencing number,
+    /// because it increases with every change and is unique among orders.
     #[serde(rename = "i")]
     pub index: u64,
 }
 
-/// What is sent to an engine.
+/// The body of an order as it is sent to an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// The fencing number. An engine that checks it refuses one below the highest it has seen.
+    /// The fencing number. An engine that checks it refuses orders with a number lower than the
+    /// highest one it has seen.
     pub number: u64,
-    /// The model to hold, if any is wanted.
+    /// The model to load, if the order specifies one.
     pub model: Option<String>,
-    /// The role to have, if any is wanted.
+    /// The role to take, if the order specifies one.
     pub role: Option<String>,
-    /// Whether to run nothing, if that is ordered.
+    /// Whether to be drained, if the order specifies it.
     pub drained: Option<bool>,
 }
 
-/// What an engine tells of its setup.
+/// The setup reported by an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineSetup {
-    /// The model it holds or is loading.
+    /// The model that is loaded or being loaded.
     pub model: String,
-    /// Its role.
+    /// The current role.
     pub role: String,
-    /// Whether it runs nothing by order.
+    /// Whether the engine is drained by an order.
     pub drained: bool,
-    /// Whether it can run requests as far as its setup goes.
+    /// Whether the setup is complete, so that the engine can run requests.
     pub ready: bool,
 }
 
 impl EngineSetup {
-    /// Tells whether it is what is wanted.
-    pub fn is(&self, wanted: &Setup) -> bool {
-        wanted.model.as_ref().is_none_or(|model| *model == self.model)
-            && wanted.role.as_ref().is_none_or(|role| *role == self.role)
-            && wanted.drained.is_none_or(|drained| drained == self.drained)
+    /// Returns whether the reported setup matches the desired one.
+    pub fn matches(&self, desired: &Setup) -> bool {
+        desired.model.as_ref().is_none_or(|model| *model == self.model)
+            && desired.role.as_ref().is_none_or(|role| *role == self.role)
+            && desired.drained.is_none_or(|drained| drained == self.drained)
     }
 }
