--- a/src/kingcupgrade/protocol/record.rs
+++ b/src/kingcupgrade/protocol/record.rs
@@ -1,4 +1,4 @@
-//! Messages between any instance and the durable record, and the commands the record holds.
+//! Messages between instances and the durable record, and the commands that change the record.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,30 +7,31 @@
     FailureDomain, Instance, Millis, Organisation, Service, UpstreamName, code::CodedError,
 };
 
-/// Names a request key's claim: the claiming process and a number within it.
+/// Identifies the claim of a request key by the claiming process and a number within it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimId(
-    /// A random number that no other process has.
+    /// A random number that identifies the process.
     pub u64,
-    /// The number within the process.
+    /// The sequence number of the claim within the process.
     pub u64,
 );
 
-/// A caller's request key, as the record files it.
+/// The idempotency key of a request, as stored in the record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey {
-    /// The service called.
+    /// The requested service.
     #[serde(rename = "s")]
     pub service: Service,
-    /// The organisation that called; keys of two organisations never meet.
+    /// The organisation of the caller. It is part of the key, so equal keys of two organisations
+    /// do not collide.
     #[serde(rename = "o")]
     pub organisation: Organisation,
-    /// The caller's key.
+    /// The key chosen by the caller.
     #[serde(rename = "k")]
     pub key: String,
 }
 
-/// An answer kept for replay.
+/// An answer stored for replay to a repeated request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
     /// The HTTP status.
@@ -39,179 +40,183 @@
     /// The content type.
     #[serde(rename = "t")]
     pub content_type: String,
-    /// The body; `None` where it was too large to keep.
+    /// The body; `None` if it was too large to store.
     #[serde(rename = "b")]
     pub body: Option<String>,
 }
 
-/// How a claimed request ended.
+/// The outcome of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settlement {
-    /// It ran and was answered.
+    /// The request ran and was answered.
     #[serde(rename = "d")]
     Done(KeptAnswer),
-    /// It surely did not run; the key may be claimed again.
+    /// The request is known not to have run, so the key may be claimed again.
     #[serde(rename = "r")]
     Released,
-    /// It may have run.
+    /// The request may have run.
     #[serde(rename = "u")]
     Unknown,
 }
 
-/// A change of the record.
+/// A command of the record's replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Puts a document in force.
     #[serde(rename = "a")]
     ApplyDocument {
-        /// Names the change; a resend under the same name gets the first answer.
+        /// The id of the change. A repeated change with the same id gets the first reply.
         #[serde(rename = "i")]
         change: String,
         /// The service.
         #[serde(rename = "s")]
         service: Service,
-        /// The revision the change was made from, zero for a new document.
+        /// The revision on which the change is based; 0 for a new document.
         #[serde(rename = "r")]
         base: u64,
-        /// The document as its author wrote it.
+        /// The text of the document.
         #[serde(rename = "t")]
         text: String,
     },
     /// Takes a failure domain out of service or back in.
     #[serde(rename = "d")]
     SetDomain {
-        /// Names the change.
+        /// The id of the change.
         #[serde(rename = "i")]
         change: String,
         /// The failure domain.
         #[serde(rename = "f")]
         domain: FailureDomain,
-        /// Whether it is out.
+        /// Whether the failure domain is out of service.
         #[serde(rename = "x")]
         out: bool,
     },
-    /// Lets an upstream leave or stay.
+    /// Marks an upstream as leaving or clears the mark. A leaving upstream gets no new requests.
     #[serde(rename = "l")]
     SetLeaving {
-        /// Names the change.
+        /// The id of the change.
         #[serde(rename = "i")]
         change: String,
         /// The upstream.
         #[serde(rename = "u")]
         upstream: UpstreamName,
-        /// Whether it leaves.
+        /// Whether the upstream is leaving.
         #[serde(rename = "x")]
         leaving: bool,
     },
-    /// Changes the setup wanted of an upstream.
+    /// Changes the desired setup of an upstream.
     #[serde(rename = "o")]
     Order {
-        /// Names the change.
+        /// The id of the change.
         #[serde(rename = "i")]
         change: String,
         /// The upstream.
         #[serde(rename = "u")]
         upstream: UpstreamName,
-        /// What changes.
+        /// The change of the setup.
         #[serde(rename = "x")]
         setup: SetupChange,
     },
     /// Claims a request key before the request is sent.
     #[serde(rename = "c")]
     Claim {
-        /// Names the claim.
+        /// The id of the claim.
         #[serde(rename = "i")]
         id: ClaimId,
         /// The key.
         #[serde(rename = "k")]
         key: RequestKey,
-        /// Digest of method, path and body; another request under the key is refused.
+        /// A digest of the method, path and body. A request with the same key but another digest is
+        /// refused.
         #[serde(rename = "g")]
         digest: u128,
-        /// How long the request may take, by the record's time.
+        /// How long the request may take, measured in the time of the record.
         #[serde(rename = "m")]
         span: Millis,
     },
     /// Adds or removes a replica of the record.
     #[serde(rename = "m")]
     ChangeMembers {
-        /// Whether to add it.
+        /// Whether to add the replica; otherwise it is removed.
         #[serde(rename = "x")]
         add: bool,
-        /// Its instance.
+        /// The instance of the replica.
         #[serde(rename = "n")]
         instance: Instance,
-        /// Which of the instance's replicas; `None` for the only one, or the one to add.
+        /// The replica number, if the instance has several replicas; `None` for its only replica or
+        /// for the replica to add.
         #[serde(rename = "r")]
         replica: Option<u64>,
     },
-    /// Replaces the whole configuration, if its version is higher than the one in force.
+    /// Replaces the complete configuration, if its version is higher than the one in force.
     #[serde(rename = "w")]
     Replace(StoredConfiguration),
-    /// Reads the whole configuration.
+    /// Reads the complete configuration.
     ///
-    /// It takes a place in the log like a change, so the answer is newer than every change that
-    /// was acknowledged before the question, without trust in any clock.
+    /// A read is committed as a log entry like a change. Its reply therefore includes every change
+    /// that was acknowledged before the read was sent, without relying on clocks.
     #[serde(rename = "g")]
     Read,
-    /// Ends a claim.
+    /// Settles a claim with the outcome of its request.
     #[serde(rename = "e")]
     Settle {
-        /// The claim.
+        /// The id of the claim.
         #[serde(rename = "i")]
         id: ClaimId,
         /// The key.
         #[serde(rename = "k")]
         key: RequestKey,
-        /// How the request ended.
+        /// The outcome of the request.
         #[serde(rename = "s")]
         settlement: Settlement,
     },
 }
 
-/// What the record answers to a command.
+/// The reply of the record to a [`Command`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The document is accepted under this revision.
+    /// The change was accepted.
     #[serde(rename = "a")]
     Accepted {
-        /// The new revision of the service's document.
+        /// The new revision of the service's document or version of the configuration; 0 for other
+        /// changes.
         #[serde(rename = "r")]
         revision: u64,
-        /// The place of the change in the record; in force where an instance's index reaches it.
+        /// The index of the change in the record. The change is in force at instances whose own
+        /// index is at least this high.
         #[serde(rename = "i")]
         index: u64,
     },
-    /// The key is the claimer's; the request may be sent.
+    /// The key was claimed, so the request may be sent.
     #[serde(rename = "c")]
     Claimed,
-    /// The request ran earlier.
+    /// The request ran earlier, with this answer.
     #[serde(rename = "r")]
     Replay(KeptAnswer),
-    /// The members are these now.
+    /// The members after the change.
     #[serde(rename = "m")]
     Members(Vec<super::consensus::Member>),
-    /// The whole configuration in force, if there is one.
+    /// The complete configuration in force, if there is one.
     #[serde(rename = "w")]
     Whole(Option<StoredConfiguration>),
-    /// The claim is settled.
+    /// The claim was settled.
     #[serde(rename = "s")]
     Settled,
-    /// The command is refused.
+    /// The command was refused.
     #[serde(rename = "e")]
     Refused(CodedError),
 }
 
-/// A whole configuration as its operator sent it.
+/// A complete configuration, as sent by the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredConfiguration {
-    /// Its version.
+    /// The version.
     #[serde(rename = "v")]
     pub version: u64,
     /// The text.
     #[serde(rename = "t")]
     pub text: std::sync::Arc<str>,
-    /// The place of the change in the record; 0 before it has one.
+    /// The index of the change in the record; 0 until the change is applied.
     #[serde(rename = "i")]
     pub index: u64,
 }
@@ -222,10 +227,10 @@
     /// The service.
     #[serde(rename = "s")]
     pub service: Service,
-    /// Its revision, from 1.
+    /// The revision; the first one is 1.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// The place of the change in the record.
+    /// The index of the change in the record.
     #[serde(rename = "i")]
     pub index: u64,
     /// The text.
@@ -233,100 +238,102 @@
     pub text: String,
 }
 
-/// A standing of a failure domain or an upstream.
+/// Whether a failure domain is out of service or an upstream is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing<N> {
-    /// Whose standing it is.
+    /// The name of the failure domain or upstream.
     #[serde(rename = "n")]
     pub name: N,
-    /// Whether it is out or leaving.
+    /// Whether the failure domain is out of service, or the upstream is leaving.
     #[serde(rename = "x")]
     pub out: bool,
-    /// The place of the change in the record.
+    /// The index of the change in the record.
     #[serde(rename = "i")]
     pub index: u64,
 }
 
-/// A message about the record.
+/// A message between an instance and the record, or between instances that pass on its state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RecordMessage {
-    /// Asks for everything that changed after a place in the record.
+    /// Requests everything that changed after an index of the record.
     #[serde(rename = "q")]
     Pull {
-        /// The place.
+        /// The index up to which the sender knows the record.
         #[serde(rename = "h")]
         have: u64,
-        /// The asker's clock; the answer repeats it.
+        /// The time of the request by the sender's clock, echoed in the answer.
         #[serde(rename = "s")]
         asked: Millis,
     },
-    /// What changed.
+    /// Sends the changed state.
     #[serde(rename = "s")]
     State {
-        /// The place of the last change included.
+        /// The index of the last included change.
         #[serde(rename = "i")]
         index: u64,
-        /// The place after which changes are included; what is older is taken as known.
+        /// The index after which changes are included. Earlier changes are assumed to be known; a
+        /// receiver whose own index is lower does not advance it.
         #[serde(rename = "b")]
         since: u64,
-        /// The asker's clock, as it was sent; `None` where nobody asked.
+        /// The time of the request by the receiver's clock; `None` if the state was not requested.
         #[serde(rename = "s")]
         asked: Option<Millis>,
-        /// How long ago a majority confirmed that this is the newest; `None` from a neighbour,
-        /// or from a control instance that can't reach a majority.
+        /// The time since a majority confirmed that this state is the newest; `None` if another
+        /// entry sends it, or a control instance that cannot reach a majority.
         #[serde(rename = "a")]
         age: Option<Millis>,
-        /// Documents.
+        /// The changed documents.
         #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
         documents: Vec<StoredDocument>,
-        /// Failure domains.
+        /// The changed failure domains.
         #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
         domains: Vec<Standing<FailureDomain>>,
-        /// Upstreams.
+        /// The changed upstreams.
         #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
         upstreams: Vec<Standing<UpstreamName>>,
-        /// Orders to upstreams.
+        /// The changed orders to upstreams.
         #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
         orders: Vec<UpstreamOrder>,
-        /// The whole configuration.
+        /// The complete configuration, if it changed.
         #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
         whole: Option<StoredConfiguration>,
     },
-    /// Asks for a change.
+    /// Proposes a command.
     #[serde(rename = "p")]
     Propose {
-        /// Tells the sender's proposals apart.
+        /// The id of the proposal, unique for its sender.
         #[serde(rename = "n")]
         id: u64,
-        /// The change.
+        /// The command.
         #[serde(rename = "c")]
         command: Command,
     },
-    /// The change was applied, or can't be.
+    /// Answers a proposal whose command was applied or refused.
     #[serde(rename = "a")]
     Answer {
-        /// The proposal.
+        /// The id of the proposal.
         #[serde(rename = "n")]
         id: u64,
-        /// The answer.
+        /// The reply.
         #[serde(rename = "r")]
         reply: Reply,
     },
-    /// The addressed instance does not lead the record.
+    /// Answers a proposal that was sent to an instance other than the leader.
     #[serde(rename = "x")]
     Redirect {
-        /// The proposal.
+        /// The id of the proposal.
         #[serde(rename = "n")]
         id: u64,
-        /// Who leads, if known.
+        /// The leader, if known.
         #[serde(rename = "l")]
         leader: Option<Instance>,
     },
 }
 
 impl RecordMessage {
-    /// Returns when a majority confirmed that this state is the newest, by the asker's clock, if
-    /// this answers a question and a majority did.
+    /// Returns when, by the clock of the requester, a majority confirmed that this state is the
+    /// newest. Returns `None` if the message does not answer a [`RecordMessage::Pull`] or carries
+    /// no confirmation.
     pub fn confirmed(&self) -> Option<Millis> {
         match self {
             RecordMessage::State { asked, age, .. } => Some(asked.as_ref()?.since((*age)?)),
