--- a/src/kingcupgrade/ops/backup.rs
+++ b/src/kingcupgrade/ops/backup.rs
@@ -13,35 +13,36 @@
     util::hex::from_hex,
 };
 
-/// What a backup holds.
+/// A summary of a backup that was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackupInfo {
-    /// The last entry it includes.
+    /// The index of the last included entry.
     pub index: u64,
-    /// Whether a majority confirmed that nothing newer was accepted.
+    /// Whether a majority confirmed that no newer change had been accepted.
     pub confirmed: bool,
 }
 
 /// Writes the state of a running record to a file.
 ///
-/// All instances are asked, and the newest state is taken: the first to answer may be cut off and
-/// far behind, and its state would lose accepted changes when it is restored.
+/// All instances are asked and the newest state is written, preferably a confirmed one. The first
+/// instance to answer may be partitioned and far behind; restoring its state would lose accepted
+/// changes.
 ///
 /// # Errors
 ///
-/// Returns an error if no control instance answers or the file can't be written.
+/// Returns an error if no control instance answers or the file cannot be written.
 pub fn backup(client: &OperatorClient, path: &Path) -> anyhow::Result<BackupInfo> {
     let mut newest: Option<Backup> = None;
     for instance in client.instances() {
         let reply = client.ask_one(instance, &OperatorRequest::Backup);
         let Ok(OperatorReply::Backup(backup)) = reply else { continue };
-        let place = |backup: &Backup| (backup.confirmed, backup.index);
-        if newest.as_ref().is_none_or(|known| place(known) < place(&backup)) {
+        let rank = |backup: &Backup| (backup.confirmed, backup.index);
+        if newest.as_ref().is_none_or(|known| rank(known) < rank(&backup)) {
             newest = Some(backup);
         }
     }
-    let Some(backup) = newest else { bail!("no control instance with a record answers") };
-    let data = from_hex(&backup.data).context("the backup is not in hex")?;
+    let Some(backup) = newest else { bail!("no control instance returned a backup") };
+    let data = from_hex(&backup.data).context("the backup data is not valid hexadecimal")?;
     Record::decode(&data)?;
     let mut payload = backup.index.to_le_bytes().to_vec();
     payload.extend(data);
@@ -51,7 +52,7 @@
     Ok(BackupInfo { index: backup.index, confirmed: backup.confirmed })
 }
 
-/// Reads a backup: the last entry it includes, and the state.
+/// Reads a backup file. Returns the index of the last included entry and the encoded state.
 pub(super) fn read_backup(path: &Path) -> anyhow::Result<(u64, Vec<u8>)> {
     let file = fs::read(path).with_context(|| path.display().to_string())?;
     let damaged = || CodedError::new(Code::DataCorrupt, path.display().to_string());
