--- a/src/kingcupgrade/ops/explain.rs
+++ b/src/kingcupgrade/ops/explain.rs
@@ -7,40 +7,41 @@
 use anyhow::Context;
 use serde_json::Value;
 
-/// Events that end a request's story: one of them is the reason for what its caller saw.
+/// The events that determine the answer which the caller of a request received.
 const DECIDING_EVENTS: [&str; 3] = ["refused", "broken-off", "answer-of-another-request"];
 
-/// A line of a log that names a request.
+/// A log line that mentions a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// When it was written, by the wall clock of its process, in milliseconds since 1970.
+    /// The wall clock of the process when it wrote the line, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
-    /// The log it stands in.
+    /// The log file that contains the line.
     pub log: PathBuf,
-    /// What happened.
+    /// The name of the event.
     pub event: String,
-    /// The rest, as it was written.
+    /// The fields of the event.
     pub fields: Value,
 }
 
-/// What the logs of all processes say of one request.
+/// All log lines of one request, from the logs of all processes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Explanation {
-    /// The lines that name it, in the order of their times.
+    /// The lines that mention the request, ordered by time.
     pub lines: Vec<LogLine>,
-    /// The place among them of the line that decided what its caller saw, if one did.
+    /// The index in `lines` of the event that determined the answer to the caller, if there is one.
     pub deciding: Option<usize>,
-    /// Lines that can't be read, in all logs.
+    /// The number of lines in all logs that could not be parsed.
     pub unreadable: usize,
 }
 
-/// Joins the lines of several logs that name a request.
+/// Collects the lines that mention a request from several logs.
 ///
-/// Clocks of processes differ, so lines of two processes may stand in the wrong order by as much.
+/// Lines are ordered by the wall clocks of their processes. Lines of two processes may therefore be
+/// out of order by the difference between the clocks.
 ///
 /// # Errors
 ///
-/// Returns an error if a log can't be opened or read.
+/// Returns an error if a log cannot be opened or read.
 pub fn explain(
     request: &str,
     logs: impl IntoIterator<Item = impl AsRef<Path>>,
@@ -62,7 +63,7 @@
 
 fn read_line(request: &str, log: &Path, line: &[u8], explanation: &mut Explanation) {
     let text = String::from_utf8_lossy(line);
-    // Whatever a collector puts before the line is passed over.
+    // Log collectors may add a prefix to the JSON object; it is skipped.
     let Some(start) = text.find('{') else {
         explanation.unreadable += usize::from(!text.trim().is_empty());
         return;
@@ -77,17 +78,17 @@
     };
     let event = event.to_owned();
     let fields = value["fields"].take();
-    if names(&fields, request) {
+    if mentions(&fields, request) {
         explanation.lines.push(LogLine { unix_ms, log: log.to_owned(), event, fields });
     }
 }
 
-/// Tells whether a text somewhere in a value is the request's id.
-fn names(value: &Value, request: &str) -> bool {
+/// Returns whether any string in `value` equals the request's id.
+fn mentions(value: &Value, request: &str) -> bool {
     match value {
         Value::String(text) => text == request,
-        Value::Array(values) => values.iter().any(|value| names(value, request)),
-        Value::Object(fields) => fields.values().any(|value| names(value, request)),
+        Value::Array(values) => values.iter().any(|value| mentions(value, request)),
+        Value::Object(fields) => fields.values().any(|value| mentions(value, request)),
         _ => false,
     }
 }
