--- a/src/kingcupgrade/ops/fleet.rs
+++ b/src/kingcupgrade/ops/fleet.rs
@@ -6,11 +6,11 @@
     util::process,
 };
 
-/// Runs one process of a fleet that finds itself, until it is told to stop.
+/// Runs one process of a fleet with dynamic membership until it receives a stop signal.
 ///
 /// # Errors
 ///
-/// Returns an error if the process can't start, or ends otherwise than when told to.
+/// Returns an error if the process cannot start, or stops for another reason than the signal.
 pub fn serve_fleet<E: Edge>(edge: E) -> anyhow::Result<()> {
     process::run_logged(|| {
         let signals = EarlySignals::catch()?;
