--- a/src/kingcupgrade/ops/found.rs
+++ b/src/kingcupgrade/ops/found.rs
@@ -9,23 +9,25 @@
     state::{disk, record::Record},
 };
 
-/// How far the places of a restored record lie beyond its backup's: further than any change that
-/// instances may have seen after the backup was taken.
+/// The offset added to the last index of a backup when it is restored. It exceeds the number of
+/// changes that instances can have received after the backup was written, so that every index of
+/// the restored record is higher than any index they know.
 const RESTORE_JUMP: u64 = 1_000_000_000;
 
-/// Makes the data folder of a founding member of a new record, empty or from a backup.
+/// Creates the data folder of an initial member of a new record, either empty or from a backup.
 ///
-/// It is to be done once for each control instance of a new fleet, and never again: an instance
-/// that lost its folder starts without one and is added as a new member. From a backup it is done
-/// at all control instances, each with the same file, after all of their folders were put aside.
+/// This must be done once for each control instance of a new fleet and never again: an instance
+/// that lost its data folder starts without one and is added as a new member. To restore a backup,
+/// first move the data folders of all control instances away, then run this at each of them with
+/// the same backup file.
 ///
 /// # Errors
 ///
-/// Returns an error if the settings name no data folder, it holds a replica already, or the
-/// backup is damaged.
+/// Returns an error if the settings specify no data folder, the folder already contains a replica,
+/// or the backup is corrupt.
 pub fn found(path: &Path, backup: Option<&Path>) -> anyhow::Result<()> {
     let settings = Settings::load(path)?;
-    let folder = settings.data.as_ref().context("the settings name no data folder")?;
+    let folder = settings.data.as_ref().context("the settings specify no data folder")?;
     let controls = settings.with_role(Role::Control);
     let members: Vec<_> = controls.map(|peer| peer.instance.clone()).collect();
     let Some(backup) = backup else {
