--- a/src/kingcupgrade/ops/mod.rs
+++ b/src/kingcupgrade/ops/mod.rs
@@ -1,7 +1,7 @@
-//! What the programs do, one function for each operation.
+//! The operations of the programs, one function each.
 //!
-//! The binaries read their command line and call one of these, so that an embedding program or a
-//! test can do the same without a command line.
+//! The binaries parse their command line and call one of these functions. Embedding programs and
+//! tests can call them without a command line.
 
 mod backup;
 mod explain;
