--- a/src/kingcupgrade/ops/serve.rs
+++ b/src/kingcupgrade/ops/serve.rs
@@ -4,11 +4,11 @@
 
 use crate::{core::Settings, transport::daemon, util::process};
 
-/// Runs the instance that a settings file describes until it is told to stop.
+/// Runs the instance described by a settings file until it receives a stop signal.
 ///
 /// # Errors
 ///
-/// Returns an error if the settings are not valid or the instance can't be started.
+/// Returns an error if the settings are invalid or the instance cannot be started.
 pub fn serve(path: &Path) -> anyhow::Result<()> {
     let settings = Settings::load(path)?;
     let instance = settings.instance.clone();
--- a/src/kingcupgrade/ops/verify.rs
+++ b/src/kingcupgrade/ops/verify.rs
@@ -6,30 +6,30 @@
     state::{disk, record::Record},
 };
 
-/// What a data folder holds.
+/// A summary of a data folder that was verified.
 #[derive(Clone, Debug)]
 pub struct Verified {
-    /// The replica, as `INSTANCE#NUMBER`.
+    /// The id of the replica, as `INSTANCE#NUMBER`.
     pub replica: String,
-    /// The newest term it saw.
+    /// The highest term that the replica has seen.
     pub term: u64,
-    /// The last entry its snapshot covers.
+    /// The index of the last entry included in the snapshot.
     pub snapshot_index: u64,
-    /// The last entry of its log.
+    /// The index of the last entry in the log.
     pub last_index: u64,
-    /// Bytes of a write that a crash cut short.
+    /// The size of an incomplete write at the end of the log, left by a crash, in bytes.
     pub torn_bytes: usize,
     /// The members as of the end of the log.
     pub members: Vec<Member>,
-    /// Request keys in the snapshot.
+    /// The number of request keys in the snapshot.
     pub keys: usize,
 }
 
-/// Reads and checks a data folder without changing it.
+/// Reads and verifies a data folder without changing it.
 ///
 /// # Errors
 ///
-/// Returns a numbered error with file and offset for the first thing that is damaged.
+/// Returns an error with the file and offset of the first corruption found.
 pub fn verify(folder: &Path) -> Result<Verified, CodedError> {
     let contents = disk::read(folder)?;
     let log = &contents.stored.log;
