--- a/src/kingcupgrade/ops/operator.rs
+++ b/src/kingcupgrade/ops/operator.rs
@@ -11,12 +11,12 @@
     util::random,
 };
 
-/// How long an instance may take to answer.
-const PATIENCE: Duration = Duration::from_secs(15);
-/// How long connecting may take.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
+/// The maximum time for a request, including its answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
+/// The maximum time to establish a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks the instances of a fleet at their operator addresses.
+/// A client for the operator addresses of the instances of a fleet.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
     instances: BTreeMap<Instance, SocketAddr>,
@@ -24,21 +24,21 @@
 }
 
 impl OperatorClient {
-    /// Makes a client of the given instances.
+    /// Creates a client for the given instances.
     pub fn new(instances: BTreeMap<Instance, SocketAddr>) -> OperatorClient {
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(PATIENCE))
-            .timeout_connect(Some(CONNECT_PATIENCE))
+            .timeout_global(Some(REQUEST_TIMEOUT))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
             .http_status_as_error(false)
             .build();
         OperatorClient { instances, agent: ureq::Agent::new_with_config(config) }
     }
 
-    /// Reads a fleet file: a YAML map from instances to their operator addresses.
+    /// Creates a client from a fleet file: a YAML map from instances to their operator addresses.
     ///
     /// # Errors
     ///
-    /// Returns an error if the file can't be read or names no instance.
+    /// Returns an error if the file cannot be read or lists no instance.
     pub fn from_file(path: &Path) -> anyhow::Result<OperatorClient> {
         let text = fs::read_to_string(path).with_context(|| path.display().to_string())?;
         let instances: BTreeMap<Instance, SocketAddr> =
@@ -49,23 +49,23 @@
         Ok(OperatorClient::new(instances))
     }
 
-    /// Lists the instances.
+    /// Returns the names of the instances.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.instances.keys()
     }
 
-    /// Asks one instance.
+    /// Sends a request to one instance.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't be reached or its answer can't be read.
+    /// Returns an error if the instance cannot be reached or its answer cannot be decoded.
     pub fn ask_one(
         &self,
         instance: &Instance,
         request: &OperatorRequest,
     ) -> anyhow::Result<OperatorReply> {
         let address =
-            self.instances.get(instance).context("the fleet file has no such instance")?;
+            self.instances.get(instance).context("the fleet file does not list the instance")?;
         let url = format!("http://{address}{OPERATOR_PATH}");
         let body = serde_json::to_string(request)?;
         let mut response = self.agent.post(url).send(body)?;
@@ -73,11 +73,11 @@
         Ok(serde_json::from_str(&text)?)
     }
 
-    /// Asks instance after instance until one answers with something else than a failure.
+    /// Sends a request to one instance after another until one of them does not fail.
     ///
     /// # Errors
     ///
-    /// Returns the last failure if none does.
+    /// Returns the last failure if all instances fail.
     pub fn ask(&self, request: &OperatorRequest) -> anyhow::Result<OperatorReply> {
         let mut last = None;
         for instance in self.instances.keys() {
@@ -87,17 +87,19 @@
                 Err(err) => last = Some(err.context(format!("asking {instance}"))),
             }
         }
-        Err(last.unwrap_or_else(|| anyhow::anyhow!("no instance to ask")))
+        Err(last.unwrap_or_else(|| anyhow::anyhow!("the fleet file lists no instance")))
     }
 
-    /// Makes a change of the record.
+    /// Applies a command to the record.
     ///
-    /// An instance that is cut off can't know whether the change came about. The next one is asked
-    /// then; since a change has a name of its own, asking again makes it once.
+    /// A partitioned instance cannot know whether a command was committed. The command is then sent
+    /// to the next instance. This is safe because a command carries the id of its change, so that
+    /// it takes effect only once.
     ///
     /// # Errors
     ///
-    /// Returns the record's numbered refusal, or the last failure if no instance answers.
+    /// Returns the error with which the record refused the command, or the last failure if no
+    /// instance answers.
     pub fn change(&self, command: Command) -> anyhow::Result<Reply> {
         let request = OperatorRequest::Change { command };
         let mut last = None;
@@ -115,14 +117,14 @@
                 Err(err) => last = Some(err.context(format!("asking {instance}"))),
             }
         }
-        Err(last.unwrap_or_else(|| anyhow::anyhow!("no instance to ask")))
+        Err(last.unwrap_or_else(|| anyhow::anyhow!("the fleet file lists no instance")))
     }
 
-    /// Asks one instance for its status.
+    /// Returns the status of one instance.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't be reached.
+    /// Returns an error if the instance cannot be reached.
     pub fn status(&self, instance: &Instance) -> anyhow::Result<Status> {
         match self.ask_one(instance, &OperatorRequest::Status)? {
             OperatorReply::Status(status) => Ok(*status),
@@ -132,16 +134,16 @@
     }
 }
 
-/// Returns a new name for a change, so that a resend of it is known as one.
+/// Returns a new random id for a change, by which a repeated change is recognised.
 ///
 /// # Errors
 ///
-/// Returns an error if the system gives no random number.
+/// Returns an error if the operating system provides no random number.
 pub fn fresh_change_id() -> anyhow::Result<String> {
     Ok(format!("{:016x}{:016x}", random::number()?, random::number()?))
 }
 
-/// Finds the numbered error in a chain of errors, if there is one.
+/// Returns the first [`CodedError`] in a chain of errors, if there is one.
 pub fn coded(err: &anyhow::Error) -> Option<&CodedError> {
     err.chain().find_map(|cause| cause.downcast_ref::<CodedError>())
 }
