--- a/src/kingcupgrade/ops/operator.rs
+++ b/src/kingcupgrade/ops/operator.rs
@@ -87,14 +87,13 @@
                 Err(err) => last = Some(err.context(format!("asking {instance}"))),
             }
         }
-        Err(last.unwrap_or_else(|| anyhow::anyhow!("the fleet file lists no instance")))
+        Err(last.unwrap_or_else(|| anyhow::anyhow!("the client knows no instance")))
     }
 
     /// Applies a command to the record.
     ///
     /// A partitioned instance cannot know whether a command was committed. The command is then sent
-    /// to the next instance. This is safe because a command carries the id of its change, so that
-    /// it takes effect only once.
+    /// to the next instance. This is safe because a change carries an id and takes effect only once.
     ///
     /// # Errors
     ///
@@ -117,7 +116,7 @@
                 Err(err) => last = Some(err.context(format!("asking {instance}"))),
             }
         }
-        Err(last.unwrap_or_else(|| anyhow::anyhow!("the fleet file lists no instance")))
+        Err(last.unwrap_or_else(|| anyhow::anyhow!("the client knows no instance")))
     }
 
     /// Returns the status of one instance.
