--- a/src/kingcupgrade/util/mod.rs
+++ b/src/kingcupgrade/util/mod.rs
@@ -1,4 +1,4 @@
-//! Small parts without a layer of their own.
+//! Utilities used by several layers.
 
 pub mod hex;
 pub mod log;
--- a/src/kingcupgrade/util/random.rs
+++ b/src/kingcupgrade/util/random.rs
@@ -1,4 +1,4 @@
-//! Random bytes from the system.
+//! Random bytes from the operating system.
 
 use std::{fs::File, io, io::Read};
 
@@ -6,7 +6,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the system gives none.
+/// Returns an error if the operating system's source of random bytes cannot be read.
 pub fn bytes<const N: usize>() -> io::Result<[u8; N]> {
     let mut buf = [0; N];
     File::open("/dev/urandom")?.read_exact(&mut buf)?;
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the system gives none.
+/// Returns an error if the operating system's source of random bytes cannot be read.
 pub fn number() -> io::Result<u64> {
     bytes().map(u64::from_le_bytes)
 }
