--- a/src/kingcupgrade/util/log.rs
+++ b/src/kingcupgrade/util/log.rs
@@ -1,11 +1,11 @@
-//! Structured logs: one JSON object a line on standard output.
+//! Structured logs: one JSON object per line on standard output.
 //!
-//! A decision about a request or a placement gets a line of its own with its reason, so that the
-//! question "why did this request go there" has an answer after the fact.
+//! Each decision about a request or its placement is logged on a line of its own with the reason,
+//! so that the routing of a request can be explained afterwards.
 //!
-//! Whoever reads the output may stop reading. A full pipe would then hold up whoever logs, and with
-//! them every caller, so lines are written by a thread of their own, and dropped and counted once
-//! too many wait.
+//! The reader of the output may stop reading. A full pipe would then block every thread that logs,
+//! and with it all callers. A separate thread therefore writes the lines; when its queue is full,
+//! further lines are dropped and counted.
 
 use std::{
     io::{self, Write},
@@ -25,13 +25,13 @@
     sink::{AsyncPoolSink, OverflowPolicy, StdStream, StdStreamSink},
 };
 
-/// Lines that may wait to be written, a quarter of a kilobyte each: some seconds of the most that is
-/// logged.
-const QUEUE_LEN: NonZeroUsize = NonZeroUsize::new(2_048).expect("more than none");
-/// How long a process that ends waits for its last lines to be written.
+/// The maximum number of lines waiting to be written. A line takes about 256 bytes, and the queue
+/// holds a few seconds of logs at the highest rate.
+const QUEUE_LEN: NonZeroUsize = NonZeroUsize::new(2_048).expect("2048 is not zero");
+/// How long an exiting process waits for its last lines to be written.
 const FINISH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Writes the payload as it is; every payload is a JSON object already.
+/// Formats log records as JSON lines. Every payload already is a JSON object.
 #[derive(Clone)]
 struct JsonLines;
 
@@ -47,11 +47,11 @@
     }
 }
 
-/// Directs this process's logs to standard output as JSON lines.
+/// Directs the logs of this process to standard output as JSON lines.
 ///
 /// # Errors
 ///
-/// Returns an error if the logger can't be built.
+/// Returns an error if the logger cannot be built.
 pub fn init() -> anyhow::Result<()> {
     let lines =
         StdStreamSink::builder().std_stream(StdStream::Stdout).formatter(JsonLines).build_arc()?;
@@ -66,36 +66,37 @@
     Ok(())
 }
 
-/// Writes what still waits and then a last line, before the process ends; gives up if nobody reads.
+/// Writes the queued lines and then a last line before the process exits. Gives up after
+/// `FINISH_TIMEOUT` if the output is not read.
 ///
-/// The last line doesn't go by the queue, which drops lines when it is full.
+/// The last line bypasses the queue, because a full queue would drop it.
 pub fn finish(name: &str, fields: &impl Serialize) {
     let Ok(empty) = Logger::builder().build() else { return };
     let last = stamp(SystemTime::now(), Level::Info.as_str(), &line(name, fields));
     let (tx, rx) = mpsc::channel();
     thread::spawn(move || {
-        // The last owner of the queue waits for it to be written.
+        // Dropping the last reference to the logger waits until its queue is written.
         drop(spdlog::swap_default_logger(Arc::new(empty)));
         let mut stdout = io::stdout().lock();
-        // A process whose output is closed has nobody to tell.
+        // If standard output is closed, the error cannot be reported anywhere.
         let _ = stdout.write_all(last.as_bytes()).and_then(|()| stdout.flush());
-        // Nobody waits for it after the timeout.
+        // The receiver is gone after the timeout.
         let _ = tx.send(());
     });
     let _ = rx.recv_timeout(FINISH_TIMEOUT);
 }
 
-/// Logs something that happened, with its fields.
+/// Logs an event with its fields.
 pub fn event(name: &str, fields: &impl Serialize) {
     info!("{}", line(name, fields));
 }
 
-/// Logs something that should not happen.
+/// Logs, as a warning, an event that is not expected in normal operation.
 pub fn warning(name: &str, fields: &impl Serialize) {
     warn!("{}", line(name, fields));
 }
 
-/// Makes a whole line of a payload, which is a JSON object.
+/// Builds a complete line by adding the time and level to a payload, which is a JSON object.
 fn stamp(time: SystemTime, level: &str, payload: &str) -> String {
     let unix_ms = time.duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let fields = payload.strip_prefix('{').unwrap_or(payload);
