--- a/src/kingcupgrade/util/process.rs
+++ b/src/kingcupgrade/util/process.rs
@@ -1,8 +1,7 @@
-//! How a process ends: one line in the log for each way.
+//! Logs the reason for which a process ends.
 //!
-//! Whoever looks for the cause of a restart has only the logs. A process that is told to stop, one
-//! that fails and one that panics must look different there; one that is killed from outside writes
-//! no such line.
+//! The logs are the only evidence of the cause of a restart. They distinguish a process that was
+//! told to stop, one that failed and one that panicked. A process that is killed logs no such line.
 
 use std::{
     any::Any,
@@ -17,10 +16,10 @@
 
 use super::log;
 
-/// The status of a process that ends because a thread that it can't do without panicked.
+/// The exit status of a process in which an essential thread panicked.
 const PANICKED_STATUS: i32 = 70;
 
-/// The line that tells of a panic, wherever it happens.
+/// The fields of the line logged for a panic in any thread.
 #[derive(Serialize)]
 struct Panicked<'a> {
     thread: Option<&'a str>,
@@ -28,18 +27,18 @@
     cause: String,
 }
 
-/// The last line of a process.
+/// The fields of the last line logged by a process.
 #[derive(Serialize)]
 struct Ended {
-    /// Why it ends, if not because it was told to.
+    /// The error that ended the process; `None` if it was told to stop.
     cause: Option<String>,
 }
 
-/// Runs a process with its logs directed to standard output, and logs how it ended.
+/// Runs the main function of a process with logs directed to standard output, and logs how it ended.
 ///
 /// # Errors
 ///
-/// Returns the error with which it ended; a panic is one.
+/// Returns the error that `run` returned, or an error with the message of its panic.
 pub fn run_logged(run: impl FnOnce() -> anyhow::Result<()>) -> anyhow::Result<()> {
     log::init()?;
     panic::set_hook(Box::new(log_panic));
@@ -49,14 +48,14 @@
     ended
 }
 
-/// Starts a thread that the process can't do without: if it panics, the process ends.
+/// Starts an essential thread: if it panics, the process exits.
 ///
-/// Without its control thread, for one, a process would go on serving by a configuration that
-/// nobody replaces any more. Ended, it is started again.
+/// If the process continued without, for example, its control thread, it would keep serving with a
+/// configuration that is never updated. After it exits, it is restarted.
 ///
 /// # Errors
 ///
-/// Returns an error if the thread can't be started.
+/// Returns an error if the thread cannot be started.
 pub fn spawn_essential(
     name: &str,
     run: impl FnOnce() + Send + 'static,
