--- a/src/kingcupgrade/util/process.rs
+++ b/src/kingcupgrade/util/process.rs
@@ -34,7 +34,7 @@
     cause: Option<String>,
 }
 
-/// Runs the main function of a process with logs directed to standard output, and logs how it ended.
+/// Runs a process with its logs directed to standard output, and logs how it ended.
 ///
 /// # Errors
 ///
