--- a/src/kingcupgrade/lib.rs
+++ b/src/kingcupgrade/lib.rs
@@ -1,26 +1,29 @@
-//! kingcupgrade: a router fleet for organisations who share capacity fairly.
+//! kingcupgrade: a fleet of request routers that share upstream capacity fairly among
+//! organisations.
 //!
 //! # Architecture
 //!
-//! A fleet is a set of instances. An **entry** takes callers' requests and queues them; for every
-//! service and failure domain one entry also runs the **dispatcher** of that pool of upstreams; a
-//! few **control** instances with disks keep the durable record.
+//! A fleet is a set of instances. An **entry** accepts callers' requests and queues them. The
+//! upstreams of one service in one failure domain form a pool; for each pool, one entry also runs
+//! its **dispatcher**. A few **control** instances with disks replicate the durable record.
 //!
 //! ```text
 //! callers -> entry --demand--> dispatcher of the pool (one lease holder per pool)
-//!              |  <--grant---  picks the organisation furthest behind, names the upstream
+//!              |  <--grant---  picks the organisation with the least service, and an upstream
 //!              +--request----> upstream; answer relayed; cost reported to the dispatcher
 //! control instances: documents, failure domains, request keys
 //! ```
 //!
-//! The crate has four layers, and each imports only what stands below it:
+//! The crate has four layers:
 //!
-//! - [`transport`]: threads, sockets, HTTP. It carries out what the machines decide.
-//! - [`protocol`]: the typed messages between instances, and their bytes.
+//! - [`transport`]: threads, sockets and HTTP. It executes the decisions of the state machines.
 //! - [`coordination`]: the decisions, as state machines without I/O. [`coordination::node::Node`]
-//!   is one whole instance; [`coordination::dispatcher::Dispatcher`] and
-//!   [`coordination::consensus::Consensus`] are of use on their own.
-//! - [`state`]: the record's state, and its log and snapshots on disk.
+//!   is a complete instance; [`coordination::dispatcher::Dispatcher`] and
+//!   [`coordination::consensus::Consensus`] can also be used separately.
+//! - [`state`]: the state of the record, and its log and snapshots on disk.
+//! - [`protocol`]: the typed messages between instances, and their encoding.
+//!
+//! A layer imports only layers listed after it.
 //!
 //! # Example
 //!
@@ -40,8 +43,8 @@
 //! # Ok::<(), kingcupgrade::core::code::CodedError>(())
 //! ```
 //!
-//! Beside the layers stand [`core`] (names, time, result codes, settings, documents), [`ops`] (what the
-//! programs do, one function each) and [`util`].
+//! Outside of the layers are [`core`] (names, time, result codes, settings and documents), [`ops`]
+//! (the operations of the programs, one function each) and [`util`].
 
 pub mod coordination;
 pub mod core;
