--- a/src/bin/kingcup/main.rs
+++ b/src/bin/kingcup/main.rs
@@ -1,4 +1,4 @@
-//! The operator's tool.
+//! The operator's command line.
 
 mod commands;
 mod flags;
@@ -10,11 +10,11 @@
     ops,
 };
 
-/// The exit code of a change that is refused.
+/// The exit code of a command that was refused or failed.
 const REFUSED: u8 = 1;
-/// The exit code of a change that another one came before.
+/// The exit code of a change that conflicts with an earlier one.
 const CONFLICT: u8 = 3;
-/// The exit code of a change whose fate is not known; sending it again with the same id is safe.
+/// The exit code of a change whose outcome is unknown. Sending it again with the same id is safe.
 const UNKNOWN: u8 = 4;
 
 fn main() -> ExitCode {
--- a/src/kingcupgrade/lib.rs
+++ b/src/kingcupgrade/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! ```text
 //! callers -> entry --demand--> dispatcher of the pool (one lease holder per pool)
-//!              |  <--grant---  picks the organisation with the least service, and an upstream
+//!              |  <--grant---  picks the organisation furthest behind its share, and a slot
 //!              +--request----> upstream; answer relayed; cost reported to the dispatcher
 //! control instances: documents, failure domains, request keys
 //! ```
