--- a/src/bin/kingcup/flags.rs
+++ b/src/bin/kingcup/flags.rs
@@ -5,13 +5,13 @@
 xflags::xflags! {
     /// Operates a kingcupgrade fleet.
     ///
-    /// Exit codes: 0 done, 1 refused or failed, 2 wrong usage, 3 conflict with another change,
-    /// 4 unknown (send it again with the same --change-id).
+    /// Exit codes: 0 success, 1 refused or failed, 2 invalid usage, 3 conflict with another change,
+    /// 4 outcome unknown (run the command again with the same --change-id).
     cmd kingcup {
-        /// The fleet file: instances and their operator addresses (default: fleet.yaml).
+        /// The fleet file, a YAML map from instances to operator addresses (default: fleet.yaml).
         optional --fleet path: PathBuf
 
-        /// Checks a service document without sending it.
+        /// Validates a service document without sending it.
         cmd check {
             /// The document (YAML).
             required path: PathBuf
@@ -20,68 +20,68 @@
         cmd apply {
             /// The document (YAML).
             required path: PathBuf
-            /// The revision the change was made from (default: the newest).
+            /// The revision on which the change is based (default: the newest).
             optional --base revision: u64
-            /// Names the change; a resend under the same name gets the first answer.
+            /// The id of the change; a repeated change with the same id gets the first reply.
             optional --change-id id: String
-            /// Returns when every instance that can be reached has it in force.
+            /// Waits until the change is in force at all reachable instances.
             optional --wait
         }
-        /// Prints the document of a service in force.
+        /// Prints the document of a service that is in force.
         cmd get {
             /// The service.
             required service: String
         }
-        /// Lists the kept revisions of a service's document.
+        /// Lists the stored revisions of a service's document.
         cmd history {
             /// The service.
             required service: String
         }
         /// Takes a failure domain out of service or back in.
         cmd domain {
-            /// What to do: out or in.
+            /// The action: out or in.
             required action: String
             /// The failure domain.
             required name: String
-            /// Names the change.
+            /// The id of the change; a repeated change with the same id gets the first reply.
             optional --change-id id: String
-            /// Returns when every instance that can be reached knows.
+            /// Waits until the change is in force at all reachable instances.
             optional --wait
         }
-        /// Lets an upstream leave or stay.
+        /// Marks an upstream as leaving, or clears the mark.
         cmd upstream {
-            /// What to do: leave or stay.
+            /// The action: leave or stay.
             required action: String
             /// The upstream.
             required name: String
-            /// Names the change.
+            /// The id of the change; a repeated change with the same id gets the first reply.
             optional --change-id id: String
-            /// Returns when every instance that can be reached knows.
+            /// Waits until the change is in force at all reachable instances.
             optional --wait
         }
         /// Orders an engine to change its setup, or lists the orders.
         cmd order {
-            /// What to do: load, role, drain, undrain, withdraw or list.
+            /// The action: load, role, drain, undrain, withdraw or list.
             required action: String
             /// The upstream.
             optional name: String
             /// The model to load, or the role.
             optional value: String
-            /// Names the change.
+            /// The id of the change; a repeated change with the same id gets the first reply.
             optional --change-id id: String
-            /// Returns when every instance that can be reached knows.
+            /// Waits until the change is in force at all reachable instances.
             optional --wait
         }
-        /// Shows what each instance knows and does.
+        /// Shows the status of each instance.
         cmd status {
             /// Prints JSON.
             optional --json
         }
         /// Lists, adds or removes members of the durable record.
         cmd member {
-            /// What to do: list, add or remove.
+            /// The action: list, add or remove.
             required action: String
-            /// The instance, or INSTANCE#NUMBER for one of two replicas.
+            /// The instance, or INSTANCE#NUMBER if the instance has two replicas.
             optional name: String
         }
         /// Writes the state of the running record to a file.
@@ -89,14 +89,14 @@
             /// The file.
             required path: PathBuf
         }
-        /// Joins what the logs of all processes say of one request.
+        /// Collects the lines about one request from the logs of all processes.
         cmd explain {
             /// The request's id.
             required request: String
-            /// The logs.
+            /// The log files.
             repeated logs: PathBuf
         }
-        /// Checks a data folder offline and says what it holds.
+        /// Verifies a data folder offline and prints a summary of it.
         cmd verify {
             /// The data folder.
             required folder: PathBuf
