--- a/src/bin/kingcup/commands/apply.rs
+++ b/src/bin/kingcup/commands/apply.rs
@@ -27,17 +27,17 @@
     cx.change(command, &what, args.wait)
 }
 
-/// Returns the newest revision known to the fleet, zero if there is none.
+/// Returns the newest revision known to the fleet, or 0 if there is none.
 fn newest_revision(cx: &Context, service: &Service) -> anyhow::Result<u64> {
     let request = OperatorRequest::Document { service: service.clone() };
     match cx.client.ask(&request) {
         Ok(OperatorReply::Document(stored)) => Ok(stored.revision),
         Ok(_) => Ok(0),
-        Err(err) if coded(&err).is_some_and(is_absent) => Ok(0),
+        Err(err) if coded(&err).is_some_and(is_not_found) => Ok(0),
         Err(err) => Err(err),
     }
 }
 
-fn is_absent(err: &CodedError) -> bool {
+fn is_not_found(err: &CodedError) -> bool {
     err.code == Code::NothingThere
 }
--- a/src/bin/kingcup/commands/backup.rs
+++ b/src/bin/kingcup/commands/backup.rs
@@ -7,7 +7,7 @@
     let info = ops::backup(&cx.client, &args.path)?;
     println!("{}: the record up to entry {}", args.path.display(), info.index);
     if !info.confirmed {
-        eprintln!("warning: no majority confirms it; accepted changes may be missing");
+        eprintln!("warning: no majority confirmed this state; accepted changes may be missing");
     }
     Ok(())
 }
--- a/src/bin/kingcup/commands/history.rs
+++ b/src/bin/kingcup/commands/history.rs
@@ -9,7 +9,7 @@
 pub(crate) fn exec(cx: &Context, args: &History) -> anyhow::Result<()> {
     let request = OperatorRequest::History { service: Service::from(args.service.as_str()) };
     let OperatorReply::History { revisions } = cx.client.ask(&request)? else {
-        anyhow::bail!("the instance gave an answer that does not fit the question");
+        anyhow::bail!("unexpected answer of the instance");
     };
     println!("revision  index  bytes");
     for stored in revisions {
--- a/src/bin/kingcup/commands/member.rs
+++ b/src/bin/kingcup/commands/member.rs
@@ -23,7 +23,7 @@
 fn list(cx: &Context) -> anyhow::Result<()> {
     let OperatorReply::Members { members, leader } = cx.client.ask(&OperatorRequest::Members)?
     else {
-        anyhow::bail!("the instance gave an answer that does not fit the question");
+        anyhow::bail!("unexpected answer of the instance");
     };
     print_members(&members);
     match leader {
@@ -34,11 +34,11 @@
 }
 
 fn change(cx: &Context, add: bool, name: Option<&str>) -> anyhow::Result<()> {
-    let name = name.context("name the instance")?;
+    let name = name.context("expected the name of the instance")?;
     let (instance, replica) = match name.split_once('#') {
         Some((instance, number)) => {
             let number = u64::from_str_radix(number, 16)
-                .with_context(|| format!("{number} is no replica number"))?;
+                .with_context(|| format!("{number} is not a replica number"))?;
             (instance, Some(number))
         }
         None => (name, None),
@@ -46,7 +46,7 @@
     let instance = Instance::from(instance);
     let command = Command::ChangeMembers { add, instance, replica };
     let Reply::Members(members) = cx.client.change(command)? else {
-        anyhow::bail!("the record gave an answer that does not fit the change");
+        anyhow::bail!("unexpected reply of the record to the change");
     };
     print_members(&members);
     Ok(())
--- a/src/bin/kingcup/commands/mod.rs
+++ b/src/bin/kingcup/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one in each file.
+//! The subcommands, one per file.
 
 mod apply;
 mod backup;
@@ -29,19 +29,19 @@
 
 use crate::flags::{Kingcup, KingcupCmd};
 
-/// The fleet file used if none is named.
+/// The fleet file used if `--fleet` is not given.
 const DEFAULT_FLEET: &str = "fleet.yaml";
-/// How long `--wait` waits.
-const WAIT_PATIENCE: Duration = Duration::from_secs(30);
-/// How often `--wait` asks.
+/// How long `--wait` waits at most.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// How often `--wait` polls the instances.
 const WAIT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What every command needs.
+/// The state shared by all commands that contact the fleet.
 pub(crate) struct Context {
     client: OperatorClient,
 }
 
-/// Runs the command that was named.
+/// Runs the subcommand given on the command line.
 pub(crate) fn run(flags: Kingcup) -> anyhow::Result<()> {
     match &flags.subcommand {
         KingcupCmd::Check(args) => return check::exec(args),
@@ -66,15 +66,16 @@
 }
 
 impl Context {
-    /// Returns the change id given, or a new one.
+    /// Returns the given change id, or a new one.
     fn change_id(given: Option<String>) -> anyhow::Result<String> {
         given.map_or_else(fresh_change_id, Ok)
     }
 
-    /// Makes a change, says what came of it, and waits until it is in force if asked to.
+    /// Applies a command to the record, prints the result and, if `wait` is set, waits until the
+    /// change is in force.
     fn change(&self, command: Command, what: &str, wait: bool) -> anyhow::Result<()> {
         let Reply::Accepted { revision, index } = self.client.change(command)? else {
-            anyhow::bail!("the record gave an answer that does not fit the change");
+            anyhow::bail!("unexpected reply of the record to the change");
         };
         match revision {
             0 => println!("{what}: accepted"),
@@ -83,25 +84,25 @@
         if wait { self.wait_in_force(index) } else { Ok(()) }
     }
 
-    /// Returns the status of every instance that can be reached.
-    fn reached(&self) -> Vec<Status> {
+    /// Returns the status of all reachable instances.
+    fn reachable_statuses(&self) -> Vec<Status> {
         let statuses = self.client.instances().map(|instance| self.client.status(instance));
         statuses.filter_map(Result::ok).collect()
     }
 
-    /// Waits until every instance that can be reached has the change at `index` in force.
+    /// Waits until the change at `index` is in force at all reachable instances.
     fn wait_in_force(&self, index: u64) -> anyhow::Result<()> {
         let start = Instant::now();
         loop {
-            let reached = self.reached();
-            let behind = reached.iter().filter(|status| status.index < index).count();
-            if behind == 0 && !reached.is_empty() {
+            let reachable = self.reachable_statuses();
+            let behind = reachable.iter().filter(|status| status.index < index).count();
+            if behind == 0 && !reachable.is_empty() {
                 let ms = start.elapsed().as_millis();
-                println!("in force on {} instances after {ms} ms", reached.len());
+                println!("in force on {} instances after {ms} ms", reachable.len());
                 return Ok(());
             }
-            if start.elapsed() > WAIT_PATIENCE {
-                anyhow::bail!("accepted, but {behind} instances do not have it in force yet");
+            if start.elapsed() > WAIT_TIMEOUT {
+                anyhow::bail!("accepted, but not in force yet on {behind} instances");
             }
             thread::sleep(WAIT_INTERVAL);
         }
--- a/src/bin/kingcup/commands/order.rs
+++ b/src/bin/kingcup/commands/order.rs
@@ -16,8 +16,8 @@
     let value = args.value.as_deref();
     let setup = match args.action.as_str() {
         "list" => return list(cx),
-        "load" => SetupChange::Load(value.context("name the model")?.to_owned()),
-        "role" => SetupChange::Role(value.context("name the role")?.to_owned()),
+        "load" => SetupChange::Load(value.context("expected the model to load")?.to_owned()),
+        "role" => SetupChange::Role(value.context("expected the role")?.to_owned()),
         "drain" => SetupChange::Drained(true),
         "undrain" => SetupChange::Drained(false),
         "withdraw" => SetupChange::Withdraw,
@@ -25,7 +25,7 @@
             anyhow::bail!("expected load, role, drain, undrain, withdraw or list, not {other}")
         }
     };
-    let name = args.name.as_deref().context("name the upstream")?;
+    let name = args.name.as_deref().context("expected the name of the upstream")?;
     let what = match value {
         Some(value) => format!("order to {name}: {} {value}", args.action),
         None => format!("order to {name}: {}", args.action),
@@ -36,7 +36,7 @@
 }
 
 fn list(cx: &Context) -> anyhow::Result<()> {
-    let statuses = cx.reached();
+    let statuses = cx.reachable_statuses();
     let newest = statuses.iter().max_by_key(|status| status.index);
     let newest = newest.context("no instance can be reached")?;
     let pools = statuses.iter().flat_map(|status| &status.pools);
@@ -53,8 +53,8 @@
     let state = match stage {
         _ if order.setup.is_empty() => "withdrawn",
         Some((number, text)) if *number == order.index => text,
-        Some(_) => "the dispatcher does not know of it yet",
-        None => "no dispatcher has such an upstream",
+        Some(_) => "not known to the dispatcher yet",
+        None => "unknown to all dispatchers",
     };
     format!(
         "{:<16}  {:>6}  {:<24}  {state}",
--- a/src/bin/kingcup/commands/status.rs
+++ b/src/bin/kingcup/commands/status.rs
@@ -20,7 +20,7 @@
     for status in &statuses {
         println!("{}", line(status, newest));
     }
-    print_out(&statuses);
+    print_domains_out(&statuses);
     Ok(())
 }
 
@@ -59,7 +59,7 @@
     )
 }
 
-fn print_out(statuses: &[InstanceStatus]) {
+fn print_domains_out(statuses: &[InstanceStatus]) {
     let Some(newest) = statuses.iter().max_by_key(|status| status.index) else { return };
     for standing in newest.domains.iter().filter(|standing| standing.out) {
         println!("failure domain {} is out", standing.name);
--- a/src/bin/kingcup/commands/verify.rs
+++ b/src/bin/kingcup/commands/verify.rs
@@ -9,7 +9,7 @@
     println!("snapshot up to entry: {}", verified.snapshot_index);
     println!("log up to entry: {}", verified.last_index);
     println!("request keys in the snapshot: {}", verified.keys);
-    println!("bytes of a torn write, never acknowledged: {}", verified.torn_bytes);
+    println!("bytes of an incomplete write, never acknowledged: {}", verified.torn_bytes);
     for member in &verified.members {
         println!("member: {} ({})", member.id, if member.voter { "votes" } else { "catches up" });
     }
