--- a/src/bin/kingcupd/flags.rs
+++ b/src/bin/kingcupd/flags.rs
@@ -5,21 +5,21 @@
 xflags::xflags! {
     /// Runs one instance of a kingcupgrade fleet.
     cmd kingcupd {
-        /// Runs the instance until it gets SIGTERM and has finished what it began.
+        /// Runs the instance until it receives SIGTERM, then completes open requests and exits.
         default cmd run {
             /// The settings file (YAML).
             required --settings path: PathBuf
         }
-        /// Checks a settings file and says what is wrong with it.
+        /// Validates a settings file and prints the first error found.
         cmd check {
             /// The settings file.
             required path: PathBuf
         }
-        /// Makes the data folder of a founding control instance; once for each, ever.
+        /// Creates the data folder of an initial control instance. Run it only once for each.
         cmd init {
             /// The settings file.
             required --settings path: PathBuf
-            /// Begins from this backup instead of an empty record.
+            /// Starts from this backup instead of an empty record.
             optional --from path: PathBuf
         }
     }
--- a/src/bin/kingcupd/main.rs
+++ b/src/bin/kingcupd/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: one instance of a fleet.
+//! The daemon, which runs one instance of a fleet.
 
 mod flags;
 
