--- a/src/kingcupgrade/core/document.rs
+++ b/src/kingcupgrade/core/document.rs
@@ -29,7 +29,7 @@
 /// The kind of upstream that serves the requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum ServiceKind {
     /// Streams its answers. The cost of a request is the number of events in its answer.
     ModelEngine,
     /// Sends each answer at once. Every request costs 1.
@@ -134,7 +134,7 @@
     /// The name of the service, which is the first segment of its request paths.
     pub service: Service,
     /// The kind of its upstreams.
-    pub kind: Kind,
+    pub kind: ServiceKind,
     /// The models that its engines serve. Informational only.
     #[serde(default)]
     pub models: Vec<String>,
--- a/src/kingcupgrade/core/mod.rs
+++ b/src/kingcupgrade/core/mod.rs
@@ -13,6 +13,6 @@
 
 pub use clock::Millis;
 pub use code::{Code, Outcome};
-pub use document::{Document, Kind};
+pub use document::{Document, ServiceKind};
 pub use names::{FailureDomain, Instance, Organisation, OrganisationTag, Service, UpstreamName};
 pub use settings::Settings;
--- a/src/kingcupgrade/transport/callers/relay.rs
+++ b/src/kingcupgrade/transport/callers/relay.rs
@@ -18,7 +18,7 @@
         entry::{AttemptEnd, RequestId},
         node::Input,
     },
-    core::{Code, Kind},
+    core::{Code, ServiceKind},
     protocol::record::KeptAnswer,
     transport::{Event, Verdict, http::PendingAnswer, upstream},
 };
@@ -63,7 +63,7 @@
                     return;
                 }
             };
-            let is_stream = self.admitted.document.kind == Kind::ModelEngine;
+            let is_stream = self.admitted.document.kind == ServiceKind::ModelEngine;
             let next =
                 if is_stream { self.stream(answer, address) } else { self.whole(answer, address) };
             match next {
