--- a/src/kingcupgrade/core/document.rs
+++ b/src/kingcupgrade/core/document.rs
@@ -39,7 +39,7 @@
 /// The settings of one organisation in a document.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Member {
+pub struct OrganisationConfig {
     /// Its weight relative to the other organisations.
     pub share: u32,
     /// SHA-256 digests of its bearer tokens in lower-case hex. The document never contains the
@@ -50,14 +50,14 @@
 /// Matches requests, by method and path, that must not be sent more than once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Pattern {
+pub struct RequestPattern {
     /// The HTTP method, in upper case.
     pub method: String,
     /// The path below the service. A trailing `*` matches any suffix.
     pub path: String,
 }
 
-impl Pattern {
+impl RequestPattern {
     /// Returns whether a request matches the pattern.
     pub fn matches(&self, method: &str, path: &str) -> bool {
         self.method == method && self.matches_path(path)
@@ -70,8 +70,8 @@
         }
     }
 
-    fn overlaps(&self, other: &Pattern) -> bool {
-        let literal = |pattern: &Pattern| pattern.path.trim_end_matches('*').to_owned();
+    fn overlaps(&self, other: &RequestPattern) -> bool {
+        let literal = |pattern: &RequestPattern| pattern.path.trim_end_matches('*').to_owned();
         let meets = self.matches_path(&literal(other)) || other.matches_path(&literal(self));
         self.method == other.method && meets
     }
@@ -140,10 +140,10 @@
     pub models: Vec<String>,
     /// The organisations that may call the service.
     #[serde(deserialize_with = "unique_organisations")]
-    pub organisations: BTreeMap<Organisation, Member>,
+    pub organisations: BTreeMap<Organisation, OrganisationConfig>,
     /// The requests that must not be sent more than once.
     #[serde(default)]
-    pub never_repeat: Vec<Pattern>,
+    pub never_repeat: Vec<RequestPattern>,
     /// Limits on requests.
     #[serde(default)]
     pub limits: Limits,
@@ -179,9 +179,9 @@
     }
 
     fn index_tokens(&mut self) {
-        let members = self.organisations.iter();
-        let digests = members.flat_map(|(name, member)| {
-            member.token_digests.iter().map(move |digest| (digest.clone(), name.clone()))
+        let organisations = self.organisations.iter();
+        let digests = organisations.flat_map(|(name, config)| {
+            config.token_digests.iter().map(move |digest| (digest.clone(), name.clone()))
         });
         self.by_digest = digests.collect();
     }
@@ -193,7 +193,7 @@
 
     /// Returns the share of an organisation, or 1 if the document does not list it.
     pub fn share(&self, organisation: &Organisation) -> u32 {
-        self.organisations.get(organisation).map_or(1, |member| member.share)
+        self.organisations.get(organisation).map_or(1, |config| config.share)
     }
 
     fn check(&self) -> Result<(), String> {
@@ -221,7 +221,7 @@
     fn check_organisations(&self) -> Result<(), String> {
         let mut digests = BTreeSet::new();
         let mut tags = BTreeMap::new();
-        for (name, member) in &self.organisations {
+        for (name, config) in &self.organisations {
             if let Some(other) = tags.insert(name.tag(), name) {
                 // Tags are 32-bit checksums of names, so one pair of names in 2^32 collides.
                 // Service received by one organisation would then be counted for the other.
@@ -232,10 +232,10 @@
             if !is_valid_name(name.as_str()) {
                 return Err(format!("organisations: {:?} is no valid name", name.as_str()));
             }
-            if !(1..=MAX_SHARE).contains(&member.share) {
+            if !(1..=MAX_SHARE).contains(&config.share) {
                 return Err(format!("organisations.{name}.share: expected 1 to {MAX_SHARE}"));
             }
-            for digest in &member.token_digests {
+            for digest in &config.token_digests {
                 let is_hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
                 if digest.len() != 64 || !digest.bytes().all(is_hex) {
                     return Err(format!(
@@ -254,8 +254,8 @@
 
     fn check_patterns(&self) -> Result<(), String> {
         for (i, pattern) in self.never_repeat.iter().enumerate() {
-            let inner_star = pattern.path.trim_end_matches('*').contains('*');
-            if !pattern.path.starts_with('/') || inner_star || pattern.path.ends_with("**") {
+            let has_inner_star = pattern.path.trim_end_matches('*').contains('*');
+            if !pattern.path.starts_with('/') || has_inner_star || pattern.path.ends_with("**") {
                 return Err(format!(
                     "never_repeat[{i}].path: expected /path, with * only as the last character"
                 ));
@@ -275,28 +275,32 @@
 
 /// Deserializes the organisations and rejects duplicate names. Deserializing into a plain map
 /// would keep the last entry and silently drop the others.
-fn unique_organisations<'de, D>(deserializer: D) -> Result<BTreeMap<Organisation, Member>, D::Error>
+fn unique_organisations<'de, D>(
+    deserializer: D,
+) -> Result<BTreeMap<Organisation, OrganisationConfig>, D::Error>
 where
     D: Deserializer<'de>,
 {
     struct Unique;
 
     impl<'de> Visitor<'de> for Unique {
-        type Value = BTreeMap<Organisation, Member>;
+        type Value = BTreeMap<Organisation, OrganisationConfig>;
 
         fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
             f.write_str("organisations by name")
         }
 
         fn visit_map<A: MapAccess<'de>>(self, mut access: A) -> Result<Self::Value, A::Error> {
-            let mut members = BTreeMap::new();
-            while let Some((name, member)) = access.next_entry::<Organisation, Member>()? {
-                if members.contains_key(&name) {
+            let mut organisations = BTreeMap::new();
+            while let Some((name, config)) =
+                access.next_entry::<Organisation, OrganisationConfig>()?
+            {
+                if organisations.contains_key(&name) {
                     return Err(de::Error::custom(format!("organisation {name} stands twice")));
                 }
-                members.insert(name, member);
+                organisations.insert(name, config);
             }
-            Ok(members)
+            Ok(organisations)
         }
     }
 
