--- a/src/kingcupgrade/coordination/dispatcher/recovery.rs
+++ b/src/kingcupgrade/coordination/dispatcher/recovery.rs
@@ -132,7 +132,7 @@
             return;
         }
         let kept = self.shares.iter().filter(|(_, owner)| silent(owner));
-        let part = self.document.slots.static_part();
+        let part = self.document.slots.static_slots();
         self.reserved = kept.map(|(name, _)| (name.clone(), part)).collect();
     }
 
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -299,7 +299,7 @@
     fn share_slots(&self, now: Millis, whole: SlotLimits) -> SlotLimits {
         let Some(leases) = &self.leases else { return whole };
         // A dispatcher on the other side of a cut keeps back no more.
-        let own = if leases.may_be_outvoted(now) { whole.static_part() } else { whole.cold };
+        let own = if leases.may_be_outvoted(now) { whole.static_slots() } else { whole.cold };
         SlotLimits { cold: own, warm: own }
     }
 
--- a/src/kingcupgrade/core/document.rs
+++ b/src/kingcupgrade/core/document.rs
@@ -122,7 +122,7 @@
     ///
     /// A single slot cannot be split. It goes to the dispatcher, which serves all callers of the
     /// failure domain except those of that one entry.
-    pub fn static_part(self) -> u32 {
+    pub fn static_slots(self) -> u32 {
         self.cold / 2
     }
 }
