--- a/src/bin/kingcup/commands/apply.rs
+++ b/src/bin/kingcup/commands/apply.rs
@@ -39,5 +39,5 @@
 }
 
 fn is_not_found(err: &CodedError) -> bool {
-    err.code == Code::NothingThere
+    err.code == Code::NotFound
 }
--- a/src/kingcupgrade/coordination/node/mod.rs
+++ b/src/kingcupgrade/coordination/node/mod.rs
@@ -379,7 +379,7 @@
 }
 
 fn nothing_there(detail: &str) -> OperatorReply {
-    OperatorReply::Failed(CodedError::new(Code::NothingThere, detail))
+    OperatorReply::Failed(CodedError::new(Code::NotFound, detail))
 }
 
 /// Lists the entries of a failure domain.
--- a/src/kingcupgrade/core/code.rs
+++ b/src/kingcupgrade/core/code.rs
@@ -101,7 +101,7 @@
     RevisionConflict = 5002, NotRun, 409, "The document has moved on since the revision the change was made from.";
     NotLeader = 5003, NotRun, 503, "No leader of the control instances can be reached.";
     CommitUnknown = 5004, Unknown, 504, "The change was proposed and its commit was not seen; send it again with the same change id.";
-    NothingThere = 5005, NotRun, 404, "Nothing has that name.";
+    NotFound = 5005, NotRun, 404, "Nothing has that name.";
     StorageFailed = 5006, NotRun, 503, "The control instance cannot write its data folder.";
     MemberRefused = 5007, NotRun, 409, "The change of members is refused.";
     OrderInvalid = 5008, NotRun, 400, "The order to the upstream is not valid.";
--- a/src/kingcupgrade/transport/controls.rs
+++ b/src/kingcupgrade/transport/controls.rs
@@ -144,7 +144,7 @@
                 let change = format!("{change:016x}");
                 self.change(Command::SetDomain { change, domain, out }).await
             }
-            None => refusal(Code::NothingThere, "no such call"),
+            None => refusal(Code::NotFound, "no such call"),
         }
     }
 
