--- a/crates/kingcup-load/src/decisions.rs
+++ b/crates/kingcup-load/src/decisions.rs
@@ -13,7 +13,7 @@
     coordination::traffic::{Demand, RequestNo, SendEnd, Traffic, Verdict},
     core::{
         Instance, Millis, Organisation, UpstreamName,
-        fleet::{FleetSettings, name_of},
+        fleet::{FleetSettings, instance_name},
         settings::Role,
     },
     protocol::fleet::{Load, LoadReport},
@@ -109,7 +109,7 @@
     let settings = FleetSettings { ip: ip(1), ..fleet_settings() };
     let mut traffic = Traffic::new(Arc::new(settings));
     traffic.set_configuration(Arc::new(configuration(PROMISED)));
-    traffic.set_entries((1..=ENTRIES).map(|host| name_of(Role::Entry, ip(host))).collect());
+    traffic.set_entries((1..=ENTRIES).map(|host| instance_name(Role::Entry, ip(host))).collect());
     let listed =
         (0..UPSTREAMS).map(|number| listed("engine", upstream(number).as_str(), Millis::ZERO));
     traffic.set_listing(Millis::ZERO, listed.collect());
--- a/crates/kingcup-support/src/settings.rs
+++ b/crates/kingcup-support/src/settings.rs
@@ -23,7 +23,7 @@
         listing_rate: 1.0,
         data: None,
         is_first_start: false,
-        tolerated_losses: 1,
+        tolerated_failures: 1,
         grace: Millis(8_000),
         retry_ratio: 0.2,
         retry_slack: 10.0,
--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -33,7 +33,7 @@
 use crate::{
     core::{
         Instance, Millis,
-        fleet::{FleetSettings, role_of},
+        fleet::{FleetSettings, instance_role},
         settings::Role,
     },
     protocol::{
@@ -288,7 +288,7 @@
                 });
             }
             RecordMessage::State { asked, .. } => {
-                if asked.is_some() && role_of(from) == Some(Role::Control) {
+                if asked.is_some() && instance_role(from) == Some(Role::Control) {
                     self.client.on_state(now, from, message.confirmed());
                 }
                 if self.view.merge(&message) {
--- a/src/kingcupgrade/coordination/fleet/roster.rs
+++ b/src/kingcupgrade/coordination/fleet/roster.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{
-    core::{FailureDomain, Instance, Millis, fleet::role_of, settings::Role},
+    core::{FailureDomain, Instance, Millis, fleet::instance_role, settings::Role},
     protocol::fleet::Resident,
 };
 
@@ -81,7 +81,7 @@
     /// Notes a sign of life. Returns how often the instance was seen to have restarted, if it has
     /// now.
     pub fn on_join(&mut self, now: Millis, instance: &Instance, join: &Joined) -> Option<u32> {
-        match role_of(instance) {
+        match instance_role(instance) {
             Some(Role::Control) => {
                 self.controls.insert(instance.clone(), now);
             }
--- a/src/kingcupgrade/core/fleet.rs
+++ b/src/kingcupgrade/core/fleet.rs
@@ -43,7 +43,7 @@
     /// Whether the whole fleet starts for the first time, with empty disks.
     pub is_first_start: bool,
     /// The number of simultaneous failures of control instances that the record must tolerate.
-    pub tolerated_losses: usize,
+    pub tolerated_failures: usize,
     /// How long a process may take to shut down.
     pub grace: Millis,
     /// The retry budget: retries allowed per request of callers.
@@ -59,12 +59,12 @@
 impl FleetSettings {
     /// Returns the name of this instance.
     pub fn instance(&self) -> Instance {
-        name_of(self.role, self.ip)
+        instance_name(self.role, self.ip)
     }
 
     /// Returns the address at which an instance listens for other instances, or `None` if its name
     /// does not contain a role and an address.
-    pub fn address_of(&self, instance: &Instance) -> Option<SocketAddr> {
+    pub fn instance_address(&self, instance: &Instance) -> Option<SocketAddr> {
         let (role, ip) = parse_name(instance)?;
         let port = match role {
             Role::Entry => self.entry_port,
@@ -76,12 +76,12 @@
     /// Returns the number of voting replicas of the record: enough that a majority remains after
     /// the failures that must be tolerated.
     pub fn voters(&self) -> usize {
-        2 * self.tolerated_losses + 1
+        2 * self.tolerated_failures + 1
     }
 
     /// Returns the control instances at the seed addresses.
     pub fn seed_instances(&self) -> Vec<Instance> {
-        self.seeds.iter().map(|ip| name_of(Role::Control, *ip)).collect()
+        self.seeds.iter().map(|ip| instance_name(Role::Control, *ip)).collect()
     }
 }
 
@@ -89,7 +89,7 @@
 ///
 /// Settings contain addresses only, so names are derived from them. Two processes that know the
 /// same address therefore use the same name without communicating.
-pub fn name_of(role: Role, ip: IpAddr) -> Instance {
+pub fn instance_name(role: Role, ip: IpAddr) -> Instance {
     let prefix = match role {
         Role::Entry => 'e',
         Role::Control => 'c',
@@ -108,6 +108,6 @@
 }
 
 /// Returns the role contained in the name of an instance.
-pub fn role_of(instance: &Instance) -> Option<Role> {
+pub fn instance_role(instance: &Instance) -> Option<Role> {
     parse_name(instance).map(|(role, _)| role)
 }
--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -133,7 +133,7 @@
         instance,
         address: (settings.ip, port).into(),
         fleet_key: OPEN_FLEET_KEY.into(),
-        addresses: Arc::new(move |instance| book.address_of(instance)),
+        addresses: Arc::new(move |instance| book.instance_address(instance)),
         sink: Arc::new(sink),
     }
 }
--- a/tests/testsuite/model_fleet.rs
+++ b/tests/testsuite/model_fleet.rs
@@ -13,7 +13,7 @@
     },
     core::{
         Instance, Millis,
-        fleet::{FleetSettings, name_of},
+        fleet::{FleetSettings, instance_name},
         settings::Role,
     },
     protocol::{
@@ -125,7 +125,7 @@
 impl World {
     fn new(seed: u64) -> World {
         let seeds: Vec<IpAddr> = (0..SEEDS).map(ip).collect();
-        let instances = seeds.iter().map(|ip| name_of(Role::Control, *ip));
+        let instances = seeds.iter().map(|ip| instance_name(Role::Control, *ip));
         let members: Vec<Member> = instances
             .map(|instance| Member { id: ReplicaId(instance, FOUNDING_REPLICA), voter: true })
             .collect();
--- a/tests/testsuite/roster.rs
+++ b/tests/testsuite/roster.rs
@@ -9,7 +9,7 @@
     },
     core::{
         Instance, Millis,
-        fleet::{FleetSettings, name_of},
+        fleet::{FleetSettings, instance_name},
         settings::Role,
     },
     protocol::{
@@ -66,8 +66,8 @@
 impl World {
     fn new(entries: u8) -> World {
         let mut nodes: BTreeMap<Instance, FleetNode> =
-            (0..entries).map(|n| (name_of(Role::Entry, entry_ip(n)), entry(n))).collect();
-        nodes.insert(name_of(Role::Control, CONTROL), control());
+            (0..entries).map(|n| (instance_name(Role::Entry, entry_ip(n)), entry(n))).collect();
+        nodes.insert(instance_name(Role::Control, CONTROL), control());
         World {
             now: 0,
             nodes,
@@ -149,12 +149,12 @@
 fn entries_that_come_and_go_are_known_within_seconds() {
     let mut world = World::new(20);
     world.play(6_000);
-    let newcomer = name_of(Role::Entry, entry_ip(40));
+    let newcomer = instance_name(Role::Entry, entry_ip(40));
     world.nodes.insert(newcomer, entry(40));
     world.play(2_500);
     assert!(world.all_know(21), "the newcomer is not known");
     for gone in 0..5 {
-        world.nodes.remove(&name_of(Role::Entry, entry_ip(gone)));
+        world.nodes.remove(&instance_name(Role::Entry, entry_ip(gone)));
     }
     // An entry counts for four seconds after it was last heard, here and at the control instance.
     world.play(10_000);
@@ -167,13 +167,13 @@
 fn a_list_that_was_lost_is_told_again() {
     let mut world = World::new(20);
     world.play(6_000);
-    world.nodes.insert(name_of(Role::Entry, entry_ip(40)), entry(40));
+    world.nodes.insert(instance_name(Role::Entry, entry_ip(40)), entry(40));
     world.lost = 20;
     world.play(4_000);
     assert!(world.all_know(21), "the list was told only once");
-    world.nodes.insert(name_of(Role::Control, CONTROL), control());
+    world.nodes.insert(instance_name(Role::Control, CONTROL), control());
     world.play(500);
-    world.nodes.remove(&name_of(Role::Entry, entry_ip(3)));
+    world.nodes.remove(&instance_name(Role::Entry, entry_ip(3)));
     world.play(12_000);
     assert!(world.all_know(20), "the restarted control instance's list was not taken");
 }
@@ -185,7 +185,7 @@
     let mut world = World::new(3);
     world.play(2_000);
     assert!(world.restarts.is_empty(), "{:?}", world.restarts);
-    let name = name_of(Role::Entry, entry_ip(1));
+    let name = instance_name(Role::Entry, entry_ip(1));
     for restarts in 1..=2 {
         world.nodes.insert(name.clone(), entry(1));
         world.play(2_000);
--- a/tests/testsuite/totals.rs
+++ b/tests/testsuite/totals.rs
@@ -7,7 +7,7 @@
     coordination::fleet::{FleetInput, FleetNode, FleetOutput, share_interval},
     core::{
         Instance, Millis,
-        fleet::{FleetSettings, name_of},
+        fleet::{FleetSettings, instance_name},
         settings::Role,
     },
     protocol::{
@@ -37,7 +37,8 @@
 impl Fleet {
     fn start(count: usize) -> Fleet {
         let domain = |entry: usize| DOMAINS[entry % DOMAINS.len()];
-        let resident = |entry| Resident(name_of(Role::Entry, ip(entry)), domain(entry).into());
+        let resident =
+            |entry| Resident(instance_name(Role::Entry, ip(entry)), domain(entry).into());
         let residents: Vec<Resident> = (0..count).map(resident).collect();
         let node = |entry: usize| {
             let settings = FleetSettings {
--- a/tests/testsuite/traffic.rs
+++ b/tests/testsuite/traffic.rs
@@ -11,7 +11,7 @@
     },
     core::{
         Code, Instance, Millis, Organisation, Outcome, Service, UpstreamName,
-        fleet::{FleetSettings, name_of},
+        fleet::{FleetSettings, instance_name},
         settings::Role,
     },
     protocol::fleet::LoadReport,
@@ -37,7 +37,7 @@
 }
 
 pub(crate) fn entries(count: usize) -> Vec<Instance> {
-    (0..count).map(|entry| name_of(Role::Entry, ip(entry))).collect()
+    (0..count).map(|entry| instance_name(Role::Entry, ip(entry))).collect()
 }
 
 pub(crate) fn plain(no: RequestNo, now: Millis, organisation: &str) -> Demand {
