--- a/src/kingcupgrade/protocol/consensus.rs
+++ b/src/kingcupgrade/protocol/consensus.rs
@@ -8,7 +8,7 @@
 use crate::core::{Instance, Millis};
 
 /// The replica number of the initial members of a record.
-pub const FOUNDING_REPLICA: u64 = 1;
+pub const INITIAL_REPLICA: u64 = 1;
 
 /// Identifies a replica by its instance and data folder. An instance that lost its disk returns as
 /// a new replica.
--- a/src/kingcupgrade/state/disk.rs
+++ b/src/kingcupgrade/state/disk.rs
@@ -21,7 +21,7 @@
 };
 use crate::{
     core::{Code, Instance, code::CodedError},
-    protocol::consensus::{FOUNDING_REPLICA, LogEntry, Member, Position, ReplicaId, Snapshot},
+    protocol::consensus::{INITIAL_REPLICA, LogEntry, Member, Position, ReplicaId, Snapshot},
 };
 
 /// A part of one synced write.
@@ -83,10 +83,10 @@
     fs::create_dir_all(folder).map_err(|err| storage_failed(folder, &err))?;
     let members = members
         .iter()
-        .map(|member| Member { id: ReplicaId(member.clone(), FOUNDING_REPLICA), voter: true });
+        .map(|member| Member { id: ReplicaId(member.clone(), INITIAL_REPLICA), voter: true });
     let snapshot = Snapshot { position, members: members.collect(), data };
     write_whole(folder, "snapshot", &snapshot)?;
-    write_whole(folder, "identity", &ReplicaId(instance.clone(), FOUNDING_REPLICA))
+    write_whole(folder, "identity", &ReplicaId(instance.clone(), INITIAL_REPLICA))
 }
 
 /// Tells whether a folder holds a replica.
--- a/tests/testsuite/isolation.rs
+++ b/tests/testsuite/isolation.rs
@@ -14,7 +14,7 @@
     core::{Instance, Millis, fleet::FleetSettings, settings::Role},
     protocol::{
         Message,
-        consensus::{FOUNDING_REPLICA, Member, ReplicaId},
+        consensus::{INITIAL_REPLICA, Member, ReplicaId},
         record::{Command, Reply, StoredConfiguration},
     },
     state::log::Stored,
@@ -69,8 +69,8 @@
         let control = (role == Role::Control).then(|| {
             let instances = settings.seed_instances().into_iter();
             let members = instances
-                .map(|instance| Member { id: ReplicaId(instance, FOUNDING_REPLICA), voter: true });
-            let id = ReplicaId(settings.instance(), FOUNDING_REPLICA);
+                .map(|instance| Member { id: ReplicaId(instance, INITIAL_REPLICA), voter: true });
+            let id = ReplicaId(settings.instance(), INITIAL_REPLICA);
             let stored = Stored::founding(members.collect());
             let mut control = ControlMachine::new(Millis(0), id, stored, seed)
                 .expect("an empty state can be read");
--- a/tests/testsuite/model_fleet.rs
+++ b/tests/testsuite/model_fleet.rs
@@ -18,7 +18,7 @@
     },
     protocol::{
         Message,
-        consensus::{FOUNDING_REPLICA, Member, ReplicaId},
+        consensus::{INITIAL_REPLICA, Member, ReplicaId},
         record::{Command, Reply, StoredConfiguration},
     },
     state::log::{HardState, Log, Persist, Stored},
@@ -127,13 +127,13 @@
         let seeds: Vec<IpAddr> = (0..SEEDS).map(ip).collect();
         let instances = seeds.iter().map(|ip| instance_name(Role::Control, *ip));
         let members: Vec<Member> = instances
-            .map(|instance| Member { id: ReplicaId(instance, FOUNDING_REPLICA), voter: true })
+            .map(|instance| Member { id: ReplicaId(instance, INITIAL_REPLICA), voter: true })
             .collect();
         World {
             now: 0,
             random: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
             hosts: (0..SEEDS)
-                .map(|h| Host::new(h, seeds.clone(), members.clone(), FOUNDING_REPLICA))
+                .map(|h| Host::new(h, seeds.clone(), members.clone(), INITIAL_REPLICA))
                 .collect(),
             wire: Vec::new(),
             asked: BTreeMap::new(),
--- a/tests/testsuite/record/disks.rs
+++ b/tests/testsuite/record/disks.rs
@@ -42,7 +42,7 @@
     let votes =
         || members(&fleet).iter().filter(|m| m.voter && m.id.0.as_str() == lost).count() == 2;
     assert!(wait_until(PATIENCE, votes), "the new replica gets no vote");
-    let old = Some(kingcupgrade::protocol::consensus::FOUNDING_REPLICA);
+    let old = Some(kingcupgrade::protocol::consensus::INITIAL_REPLICA);
     let remove =
         Command::ChangeMembers { add: false, instance: lost.as_str().into(), replica: old };
     let removed = || fleet.client().change(remove.clone()).is_ok();
--- a/tests/testsuite/roster.rs
+++ b/tests/testsuite/roster.rs
@@ -14,7 +14,7 @@
     },
     protocol::{
         Message,
-        consensus::{FOUNDING_REPLICA, Member, ReplicaId},
+        consensus::{INITIAL_REPLICA, Member, ReplicaId},
         fleet::{FleetMessage, Resident},
         frame::Payload,
     },
@@ -38,7 +38,7 @@
         seeds: vec![CONTROL],
         ..fleet_settings()
     };
-    let id = ReplicaId(settings.instance(), FOUNDING_REPLICA);
+    let id = ReplicaId(settings.instance(), INITIAL_REPLICA);
     let founding = Stored::founding(vec![Member { id: id.clone(), voter: true }]);
     let machine = ControlMachine::new(Millis(0), id, founding, 7).expect("a founded record");
     FleetNode::new(Arc::new(settings), Some(machine))
