--- a/crates/kingcup-support/src/traffic.rs
+++ b/crates/kingcup-support/src/traffic.rs
@@ -4,7 +4,7 @@
     coordination::traffic::{Demand, PromptPart, RequestNo},
     core::{
         Millis, Organisation, Service,
-        configuration::{Configuration, EngineLimits, Limits, Route, RouteKind, ServicePlan},
+        configuration::{Configuration, EngineLimits, Limits, Route, RouteKind, ServiceConfig},
     },
     protocol::fleet::ListedUpstream,
 };
@@ -26,21 +26,21 @@
         path_prefix: "/review/".to_owned(),
         kind: RouteKind::Stream { resumable: true },
         timeout: Millis(10_000),
-        target: TARGET,
-        max_gap: Millis(250),
-        rank: 1,
-        targets: vec![("engine".into(), 1)],
+        target_latency: TARGET,
+        max_event_gap: Millis(250),
+        priority: 1,
+        services: vec![("engine".into(), 1)],
         max_attempts: 2,
         is_public: false,
     };
-    let engine = ServicePlan {
+    let engine = ServiceConfig {
         name: "engine".into(),
         max_connections: 100,
-        cold_span: Millis(3_000),
+        cold_duration: Millis(3_000),
         cold_per_s: 20.0,
         engine: Some(EngineLimits { slots: ENGINE_SLOTS, kv_capacity: 800_000, stride: 6 }),
     };
-    let plain = ServicePlan { name: "plain".into(), engine: None, ..engine.clone() };
+    let plain = ServiceConfig { name: "plain".into(), engine: None, ..engine.clone() };
     let limits = Limits {
         max_head_len: 16_384,
         max_body_len: 1 << 20,
--- a/src/kingcupgrade/coordination/traffic/mod.rs
+++ b/src/kingcupgrade/coordination/traffic/mod.rs
@@ -42,7 +42,7 @@
     coordination::fleet::report_age,
     core::{
         FailureDomain, Instance, Millis, Organisation, Service, UpstreamName,
-        configuration::{Configuration, ServicePlan},
+        configuration::{Configuration, ServiceConfig},
         fleet::FleetSettings,
     },
     protocol::fleet::{KeptParts, ListedUpstream, LoadReport},
@@ -162,11 +162,11 @@
     }
 
     /// Returns the requests a second that this entry may send to a cold upstream.
-    fn cold_rate(&self, plan: &ServicePlan, upstream: &UpstreamName) -> f64 {
+    fn cold_rate(&self, plan: &ServiceConfig, upstream: &UpstreamName) -> f64 {
         cold_share(plan.cold_per_s, upstream, &self.settings.instance(), &self.entries)
     }
 
-    fn plan(&self, service: &Service) -> Option<ServicePlan> {
+    fn plan(&self, service: &Service) -> Option<ServiceConfig> {
         self.configuration.as_ref()?.services.get(service).cloned()
     }
 
--- a/src/kingcupgrade/core/configuration.rs
+++ b/src/kingcupgrade/core/configuration.rs
@@ -50,14 +50,14 @@
     /// The maximum time from the arrival of a request to the end of its answer.
     pub timeout: Millis,
     /// The target time to the first byte of an answer.
-    pub target: Millis,
+    pub target_latency: Millis,
     /// The longest pause between two events of an answer that still counts as on time.
-    pub max_gap: Millis,
+    pub max_event_gap: Millis,
     /// The priority of its requests; 0 is the highest.
-    pub rank: u32,
+    pub priority: u32,
     /// The services that its requests are distributed over, with their weights. At least one
     /// weight is not 0.
-    pub targets: Vec<(Service, u32)>,
+    pub services: Vec<(Service, u32)>,
     /// The maximum number of upstreams that one request is sent to.
     pub max_attempts: u32,
     /// Whether callers need no key.
@@ -77,13 +77,13 @@
 
 /// The configuration of one service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServicePlan {
+pub struct ServiceConfig {
     /// Its name.
     pub name: Service,
     /// The number of connections that one upstream accepts from all clients together.
     pub max_connections: u32,
     /// How long an upstream is cold after its start.
-    pub cold_span: Millis,
+    pub cold_duration: Millis,
     /// The rate of requests that a cold upstream can serve, per second.
     pub cold_per_s: f64,
     /// The capacity of its engines, if its upstreams are model engines.
@@ -108,7 +108,7 @@
 
 /// The API keys of one organisation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tenancy {
+pub struct OrganisationKeys {
     /// The organisation.
     pub organisation: Organisation,
     /// Its keys.
@@ -123,7 +123,7 @@
     /// The routes.
     pub routes: Vec<Arc<Route>>,
     /// The services.
-    pub services: BTreeMap<Service, ServicePlan>,
+    pub services: BTreeMap<Service, ServiceConfig>,
     /// Whether callers need a key for routes that are not public.
     pub needs_keys: bool,
     /// The limits.
@@ -144,12 +144,12 @@
     pub fn new(
         version: u64,
         routes: Vec<Route>,
-        services: Vec<ServicePlan>,
-        tenancies: Option<Vec<Tenancy>>,
+        services: Vec<ServiceConfig>,
+        organisations: Option<Vec<OrganisationKeys>>,
         limits: Limits,
     ) -> Result<Configuration, CodedError> {
-        let services: BTreeMap<Service, ServicePlan> =
-            services.into_iter().map(|plan| (plan.name.clone(), plan)).collect();
+        let services: BTreeMap<Service, ServiceConfig> =
+            services.into_iter().map(|service| (service.name.clone(), service)).collect();
         let mut prefixes = BTreeSet::new();
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
@@ -166,8 +166,8 @@
             indexes.sort_by_key(|index| usize::MAX - routes[*index].path_prefix.len());
         }
         let routes = routes.into_iter().map(Arc::new).collect();
-        let needs_keys = tenancies.is_some();
-        let by_key = index_keys(tenancies.unwrap_or_default())?;
+        let needs_keys = organisations.is_some();
+        let by_key = index_keys(organisations.unwrap_or_default())?;
         Ok(Configuration { version, routes, services, needs_keys, limits, by_host, by_key })
     }
 
@@ -184,13 +184,16 @@
     }
 }
 
-fn check_route(route: &Route, services: &BTreeMap<Service, ServicePlan>) -> Result<(), CodedError> {
+fn check_route(
+    route: &Route,
+    services: &BTreeMap<Service, ServiceConfig>,
+) -> Result<(), CodedError> {
     let name = &route.name;
-    if let Some((service, _)) = route.targets.iter().find(|(name, _)| !services.contains_key(name))
+    if let Some((service, _)) = route.services.iter().find(|(name, _)| !services.contains_key(name))
     {
         return Err(invalid(format!("route {name}: unknown service {service}")));
     }
-    if route.targets.iter().all(|(_, weight)| *weight == 0) {
+    if route.services.iter().all(|(_, weight)| *weight == 0) {
         return Err(invalid(format!("route {name}: expected at least one weight above 0")));
     }
     if route.timeout == Millis::ZERO {
@@ -199,13 +202,15 @@
     Ok(())
 }
 
-fn index_keys(tenancies: Vec<Tenancy>) -> Result<HashMap<String, Organisation>, CodedError> {
+fn index_keys(
+    organisations: Vec<OrganisationKeys>,
+) -> Result<HashMap<String, Organisation>, CodedError> {
     let mut by_key: HashMap<String, Organisation> = HashMap::new();
-    for tenancy in tenancies {
-        for key in tenancy.keys {
-            let owner = by_key.insert(key, tenancy.organisation.clone());
-            if let Some(owner) = owner.filter(|owner| *owner != tenancy.organisation) {
-                let names = format!("{owner} and {}", tenancy.organisation);
+    for credentials in organisations {
+        for key in credentials.keys {
+            let owner = by_key.insert(key, credentials.organisation.clone());
+            if let Some(owner) = owner.filter(|owner| *owner != credentials.organisation) {
+                let names = format!("{owner} and {}", credentials.organisation);
                 return Err(invalid(format!("organisations {names} have a key in common")));
             }
         }
--- a/src/kingcupgrade/transport/gateway/caller/mod.rs
+++ b/src/kingcupgrade/transport/gateway/caller/mod.rs
@@ -123,7 +123,7 @@
         };
         traffic.on_request(arrived, &service);
         drop(traffic);
-        let target = route.target.min(patience);
+        let target = route.target_latency.min(patience);
         Ok(Caller {
             request_id: decoded.request_id,
             method: head.method,
@@ -358,7 +358,7 @@
         if !can_repeat {
             return self.deadline;
         }
-        let span = Millis(self.route.target.0 * HANG_TARGETS).max(MIN_HANG);
+        let span = Millis(self.route.target_latency.0 * HANG_TARGETS).max(MIN_HANG);
         self.deadline.min(Instant::now() + span.as_duration())
     }
 }
@@ -371,15 +371,15 @@
 
 /// Chooses one of a route's services by its weights; the same for the same request.
 fn choose_service<'a>(route: &'a Route, request_id: &str) -> &'a Service {
-    let sum: u32 = route.targets.iter().map(|(_, weight)| *weight).sum();
+    let sum: u32 = route.services.iter().map(|(_, weight)| *weight).sum();
     let mut point = crc32fast::hash(request_id.as_bytes()) % sum.max(1);
-    for (service, weight) in &route.targets {
+    for (service, weight) in &route.services {
         if point < *weight {
             return service;
         }
         point -= weight;
     }
-    &route.targets[0].0
+    &route.services[0].0
 }
 
 fn whole<E: Edge>(mut head: http::response::Parts, body: Bytes) -> Response<AnswerBody<E>> {
--- a/src/kingcupgrade/transport/gateway/caller/telling.rs
+++ b/src/kingcupgrade/transport/gateway/caller/telling.rs
@@ -38,7 +38,7 @@
             took: first_byte.since(sent.at),
             first_byte: first_byte.since(self.arrived),
             longest_pause,
-            max_pause: self.route.max_gap,
+            max_pause: self.route.max_event_gap,
             attempts: progress.attempts,
         };
         self.gateway.decisions.answered(
--- a/src/kingcupgrade/transport/gateway/relay.rs
+++ b/src/kingcupgrade/transport/gateway/relay.rs
@@ -153,7 +153,7 @@
             Some(before) => self.longest_pause = self.longest_pause.max(now - before),
             None => self.caller.on_first_byte(),
         }
-        let gap = self.caller.route.max_gap.0 * SILENT_GAPS;
+        let gap = self.caller.route.max_event_gap.0 * SILENT_GAPS;
         let silence = Duration::from_millis(gap.max(MIN_SILENCE));
         self.silent_until = self.cut_at.min(now + silence);
         Some(events.bytes)
