--- a/crates/kingcup-load/src/drive.rs
+++ b/crates/kingcup-load/src/drive.rs
@@ -21,8 +21,8 @@
     protocol::{
         Message, Pool,
         dispatch::{
-            DispatchBody, DispatchMessage, Ending, Finished, Grant, GrantId, Served, Session,
-            SessionTag, Waiting,
+            DispatchBody, DispatchMessage, FinishedGrant, Grant, GrantId, GrantOutcome,
+            QueuedRequests, ServiceReceived, Session, SessionTag,
         },
         frame::Channel,
         lease::{Claim, LeaseMessage},
@@ -89,7 +89,7 @@
     received: u64,
     waiting: BTreeMap<Organisation, u32>,
     changed: BTreeSet<Organisation>,
-    finished: Vec<Finished>,
+    finished: Vec<FinishedGrant>,
     progress: Vec<(GrantId, u32)>,
 }
 
@@ -241,12 +241,12 @@
             (DispatchBody::Open { session, waiting, .. }, None) => {
                 let granter = self.granters.entry(message.pool).or_default();
                 *granter = Granter { session: Some(session.tag()), ..Granter::default() };
-                granter.waiting.extend(waiting.into_iter().map(|Waiting(o, n)| (o, n)));
+                granter.waiting.extend(waiting.into_iter().map(|QueuedRequests(o, n)| (o, n)));
             }
             (DispatchBody::Report { seq, waiting, .. }, None) => {
                 let granter = self.granters.entry(message.pool).or_default();
                 granter.heard = seq;
-                granter.waiting.extend(waiting.into_iter().map(|Waiting(o, n)| (o, n)));
+                granter.waiting.extend(waiting.into_iter().map(|QueuedRequests(o, n)| (o, n)));
             }
             _ => {}
         }
@@ -296,7 +296,7 @@
                 let waiting: BTreeMap<Organisation, u32> = mine.map(|o| (o, 3)).collect();
                 let open = DispatchBody::Open {
                     session: Session(1, 1),
-                    waiting: waiting.iter().map(|(o, n)| Waiting(o.clone(), *n)).collect(),
+                    waiting: waiting.iter().map(|(o, n)| QueuedRequests(o.clone(), *n)).collect(),
                     held: Vec::new(),
                 };
                 let caller = Caller {
@@ -328,7 +328,10 @@
                 session: Session(1, 1).tag(),
                 seq: caller.seq,
                 received: caller.received,
-                waiting: changed.into_iter().map(|o| Waiting(o.clone(), counts[&o])).collect(),
+                waiting: changed
+                    .into_iter()
+                    .map(|o| QueuedRequests(o.clone(), counts[&o]))
+                    .collect(),
                 finished: std::mem::take(&mut caller.finished),
                 progress: std::mem::take(&mut caller.progress),
             };
@@ -340,8 +343,13 @@
         while self.running.front().is_some_and(|(due, ..)| *due <= self.now) {
             let Some((_, key, id)) = self.running.pop_front() else { break };
             let Some(caller) = self.callers.get_mut(&key) else { continue };
-            let ending = Ending::Completed;
-            caller.finished.push(Finished { id, ending, cost: COST, first_byte_ms: Some(400) });
+            let outcome = GrantOutcome::Completed;
+            caller.finished.push(FinishedGrant {
+                id,
+                outcome,
+                cost: COST,
+                first_byte_ms: Some(400),
+            });
             caller.progress.push((id, COST / 2));
         }
         let (due, later): (Vec<_>, Vec<_>) =
@@ -382,7 +390,8 @@
         for pool in 0..HELD {
             for other in 1..DOMAINS {
                 let total = self.now as i64 * 1_000;
-                let served = (0..BACKLOGGED).map(|o| Served(organisation(o).tag(), total, 0));
+                let served =
+                    (0..BACKLOGGED).map(|o| ServiceReceived(organisation(o).tag(), total, 0));
                 let body = DispatchBody::Exchange {
                     free: 0,
                     least: Some(total),
--- a/crates/kingcup-load/src/slopes.rs
+++ b/crates/kingcup-load/src/slopes.rs
@@ -24,7 +24,8 @@
         Message, Pool,
         consensus::{LogEntry, Payload},
         dispatch::{
-            DispatchBody, DispatchMessage, Ending, Finished, Grant, GrantId, Session, Waiting,
+            DispatchBody, DispatchMessage, FinishedGrant, Grant, GrantId, GrantOutcome,
+            QueuedRequests, Session,
         },
         frame::Channel,
         record::{ClaimId, Command as Change, KeptAnswer, RecordMessage, RequestKey, Settlement},
@@ -138,7 +139,7 @@
     let mut now = Millis(1_000);
     for (n, entry) in entries.iter().enumerate() {
         let mine = backlogged.iter().skip(n % 4).step_by(4);
-        let waiting = mine.map(|o| Waiting(o.clone(), 1_000_000)).collect();
+        let waiting = mine.map(|o| QueuedRequests(o.clone(), 1_000_000)).collect();
         let body = DispatchBody::Open { session: Session(1, 1), waiting, held: Vec::new() };
         machine.on_message(now, entry, 1, &body, &mut out);
     }
@@ -176,9 +177,9 @@
             seq: *seq,
             received: *received,
             waiting: Vec::new(),
-            finished: vec![Finished {
+            finished: vec![FinishedGrant {
                 id,
-                ending: Ending::Completed,
+                outcome: GrantOutcome::Completed,
                 cost: 300,
                 first_byte_ms: Some(400),
             }],
--- a/examples/dispatcher.rs
+++ b/examples/dispatcher.rs
@@ -8,7 +8,7 @@
     core::{Document, Instance, Millis},
     protocol::{
         Pool,
-        dispatch::{DispatchBody, Ending, Finished, Session, Waiting},
+        dispatch::{DispatchBody, FinishedGrant, GrantOutcome, QueuedRequests, Session},
     },
 };
 
@@ -29,7 +29,7 @@
     let mut out = Vec::new();
 
     let session = Session(1, 1);
-    let waiting = vec![Waiting("alder".into(), 8), Waiting("birch".into(), 8)];
+    let waiting = vec![QueuedRequests("alder".into(), 8), QueuedRequests("birch".into(), 8)];
     let open = DispatchBody::Open { session, waiting, held: Vec::new() };
     let mut now = Millis(1_000);
     machine.on_message(now, &entry, 1, &open, &mut out);
@@ -46,8 +46,12 @@
         let Some(grant) = granted(&mut out) else { break };
         println!("slot {seq} goes to {}", grant.organisation);
         now = now + Millis(100);
-        let done =
-            Finished { id: grant.id, ending: Ending::Completed, cost: 10, first_byte_ms: Some(5) };
+        let done = FinishedGrant {
+            id: grant.id,
+            outcome: GrantOutcome::Completed,
+            cost: 10,
+            first_byte_ms: Some(5),
+        };
         let report = DispatchBody::Report {
             session: session.tag(),
             seq,
--- a/src/kingcupgrade/coordination/dispatcher/counters.rs
+++ b/src/kingcupgrade/coordination/dispatcher/counters.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     core::{FailureDomain, Organisation, OrganisationTag},
-    protocol::dispatch::Served,
+    protocol::dispatch::ServiceReceived,
 };
 
 /// Counter units of one unit of cost at a share of one.
@@ -211,9 +211,9 @@
     /// does not have yet: they are told again when their service changes.
     ///
     /// Returns whether it knows less than was already known of it.
-    pub fn merge_remote(&mut self, domain: &FailureDomain, served: &[Served]) -> bool {
+    pub fn merge_remote(&mut self, domain: &FailureDomain, served: &[ServiceReceived]) -> bool {
         let mut behind = false;
-        for Served(tag, total, lift) in served {
+        for ServiceReceived(tag, total, lift) in served {
             let Some(organisation) = self.tags.get(tag).cloned() else { continue };
             let share = self.share_of(&organisation);
             behind |= self.update(&organisation, share, |account| {
@@ -228,8 +228,8 @@
     }
 
     /// Takes in what an earlier dispatcher of this pool is known to have served.
-    pub fn merge_own(&mut self, served: &[Served]) {
-        for Served(tag, total, lift) in served {
+    pub fn merge_own(&mut self, served: &[ServiceReceived]) {
+        for ServiceReceived(tag, total, lift) in served {
             let Some(organisation) = self.tags.get(tag).cloned() else { continue };
             let share = self.share_of(&organisation);
             self.update(&organisation, share, |account| {
@@ -240,17 +240,17 @@
     }
 
     /// Returns what is known of another failure domain's service.
-    pub fn remote(&self, domain: &FailureDomain) -> Vec<Served> {
+    pub fn remote(&self, domain: &FailureDomain) -> Vec<ServiceReceived> {
         let known = |(organisation, account): (&Organisation, &Account)| {
             let total = account.remote.get(domain)?;
-            Some(Served(organisation.tag(), *total, account.lift))
+            Some(ServiceReceived(organisation.tag(), *total, account.lift))
         };
         self.accounts.iter().filter_map(known).collect()
     }
 
     /// Takes up to `most` organisations whose service changed, with their totals; those without
     /// backlog only if `all` are wanted, since nobody is compared with them before they have one.
-    pub fn take_changed(&mut self, most: usize, all: bool) -> Vec<Served> {
+    pub fn take_changed(&mut self, most: usize, all: bool) -> Vec<ServiceReceived> {
         let accounts = &self.accounts;
         let is_wanted = |o: &&Organisation| all || accounts[*o].waiting > 0;
         let wanted = self.changed.iter().filter(is_wanted).take(most);
@@ -258,7 +258,7 @@
         let take = |organisation: Organisation| {
             self.changed.remove(&organisation);
             let account = &accounts[&organisation];
-            Served(organisation.tag(), account.served, account.lift)
+            ServiceReceived(organisation.tag(), account.served, account.lift)
         };
         wanted.into_iter().map(take).collect()
     }
--- a/src/kingcupgrade/coordination/dispatcher/mod.rs
+++ b/src/kingcupgrade/coordination/dispatcher/mod.rs
@@ -29,7 +29,9 @@
     },
     protocol::{
         Pool,
-        dispatch::{DispatchBody, DispatchMessage, Ending, Finished, GrantId, Waiting},
+        dispatch::{
+            DispatchBody, DispatchMessage, FinishedGrant, GrantId, GrantOutcome, QueuedRequests,
+        },
     },
     util::rendezvous::static_shares,
 };
@@ -329,8 +331,8 @@
         }
     }
 
-    fn set_waiting(&mut self, now: Millis, entry: &Instance, waiting: &[Waiting]) {
-        for Waiting(organisation, count) in waiting {
+    fn set_waiting(&mut self, now: Millis, entry: &Instance, waiting: &[QueuedRequests]) {
+        for QueuedRequests(organisation, count) in waiting {
             self.demand.set(entry, organisation, *count);
             self.refresh_waiting(now, organisation);
         }
@@ -342,18 +344,20 @@
         self.counters.set_waiting(organisation, total, elsewhere);
     }
 
-    fn on_finished(&mut self, now: Millis, done: &Finished, out: &mut Vec<DispatcherOutput>) {
+    fn on_finished(&mut self, now: Millis, done: &FinishedGrant, out: &mut Vec<DispatcherOutput>) {
         self.on_progress(done.id, done.cost);
         let Some(grant) = self.take_outstanding(done.id) else { return };
         let Some(slots) = self.slots.get_mut(&grant.upstream) else { return };
-        let collapse = match done.ending {
-            Ending::Completed => slots.on_completed(now, grant.granted_at, done.first_byte_ms),
-            Ending::Unused => None,
-            Ending::Refused => {
+        let collapse = match done.outcome {
+            GrantOutcome::Completed => {
+                slots.on_completed(now, grant.granted_at, done.first_byte_ms)
+            }
+            GrantOutcome::Unused => None,
+            GrantOutcome::Refused => {
                 slots.on_trouble(now);
                 Some(Collapse::Refused)
             }
-            Ending::Failed => {
+            GrantOutcome::Failed => {
                 slots.on_trouble(now);
                 Some(Collapse::Failed)
             }
--- a/src/kingcupgrade/coordination/dispatcher/neighbours.rs
+++ b/src/kingcupgrade/coordination/dispatcher/neighbours.rs
@@ -5,7 +5,7 @@
 };
 use crate::{
     core::{FailureDomain, Instance, Millis},
-    protocol::dispatch::{DispatchBody, Offer, Served},
+    protocol::dispatch::{DispatchBody, Offer, ServiceReceived},
 };
 
 impl Dispatcher {
@@ -65,7 +65,7 @@
         term: u64,
         free: u32,
         least: Option<i64>,
-        served: &[Served],
+        served: &[ServiceReceived],
         out: &mut Vec<DispatcherOutput>,
     ) {
         let Some(domain) = self.demand.domain_of(from) else { return };
--- a/src/kingcupgrade/coordination/dispatcher/recovery.rs
+++ b/src/kingcupgrade/coordination/dispatcher/recovery.rs
@@ -5,7 +5,7 @@
 use super::{Dispatcher, GONE_DELAY, Outstanding, SESSION_SILENCE};
 use crate::{
     core::{Instance, Millis},
-    protocol::dispatch::{GrantId, Held, Session, SessionTag, Waiting},
+    protocol::dispatch::{GrantId, GrantInUse, QueuedRequests, Session, SessionTag},
 };
 
 impl Dispatcher {
@@ -15,8 +15,8 @@
         entry: &Instance,
         session: Session,
         knows_term: bool,
-        waiting: &[Waiting],
-        held: &[Held],
+        waiting: &[QueuedRequests],
+        held: &[GrantInUse],
     ) {
         if !self.demand.open(now, entry, session, knows_term) {
             return;
@@ -47,7 +47,7 @@
     }
 
     /// Counts a grant that the entry holds, whoever gave it.
-    fn adopt(&mut self, entry: &Instance, held: &Held) {
+    fn adopt(&mut self, entry: &Instance, held: &GrantInUse) {
         if self.outstanding.contains_key(&held.id) {
             return;
         }
--- a/src/kingcupgrade/coordination/entry/attempts.rs
+++ b/src/kingcupgrade/coordination/entry/attempts.rs
@@ -8,7 +8,7 @@
     core::{Code, Millis, UpstreamName},
     protocol::{
         Pool,
-        dispatch::{Ending, Finished, Grant, GrantId},
+        dispatch::{FinishedGrant, Grant, GrantId, GrantOutcome},
     },
 };
 
@@ -35,7 +35,7 @@
         };
         self.held.insert((pool.clone(), grant.id), held);
         let Some(id) = next else {
-            self.end_grant(pool, grant.id, Ending::Unused, 0, None);
+            self.end_grant(pool, grant.id, GrantOutcome::Unused, 0, None);
             return;
         };
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -98,7 +98,7 @@
         match result {
             Ok(()) if now >= request.deadline => {
                 // Sent now, it could only time out, and its outcome would be unknown for nothing.
-                self.end_grant(&pool, grant.id, Ending::Unused, 0, None);
+                self.end_grant(&pool, grant.id, GrantOutcome::Unused, 0, None);
                 self.give_up(id, Code::DeadlineQueued, out);
                 return true;
             }
@@ -107,7 +107,7 @@
                 self.start(now, id, &pool, &grant, out);
             }
             Err(code) => {
-                self.end_grant(&pool, grant.id, Ending::Unused, 0, None);
+                self.end_grant(&pool, grant.id, GrantOutcome::Unused, 0, None);
                 self.give_up(id, code, out);
             }
         }
@@ -119,13 +119,13 @@
         &mut self,
         pool: &Pool,
         id: GrantId,
-        ending: Ending,
+        outcome: GrantOutcome,
         cost: u32,
         first_byte_ms: Option<u32>,
     ) {
         self.held.remove(&(pool.clone(), id));
         if let Some(session) = self.sessions.get_mut(pool) {
-            session.note_finished(Finished { id, ending, cost, first_byte_ms });
+            session.note_finished(FinishedGrant { id, outcome, cost, first_byte_ms });
         }
     }
 
@@ -157,16 +157,16 @@
         let Some(request) = self.requests.get(&id) else { return };
         let Stage::Sent { pool, grant } = request.stage.clone() else { return };
         let upstream = self.held.get(&(pool.clone(), grant)).map(|held| held.upstream.clone());
-        let ending = match end {
-            AttemptEnd::Completed => Ending::Completed,
-            AttemptEnd::Refused => Ending::Refused,
+        let outcome = match end {
+            AttemptEnd::Completed => GrantOutcome::Completed,
+            AttemptEnd::Refused => GrantOutcome::Refused,
             AttemptEnd::NotSent
             | AttemptEnd::Broken
             | AttemptEnd::BrokenForGood
-            | AttemptEnd::TimedOut => Ending::Failed,
-            AttemptEnd::HungUp => Ending::Unused,
+            | AttemptEnd::TimedOut => GrantOutcome::Failed,
+            AttemptEnd::HungUp => GrantOutcome::Unused,
         };
-        self.end_grant(&pool, grant, ending, cost, first_byte_ms);
+        self.end_grant(&pool, grant, outcome, cost, first_byte_ms);
         let code = match end {
             AttemptEnd::Completed | AttemptEnd::HungUp => {
                 self.remove(id);
--- a/src/kingcupgrade/coordination/entry/mod.rs
+++ b/src/kingcupgrade/coordination/entry/mod.rs
@@ -21,7 +21,7 @@
     core::{Code, Document, FailureDomain, Instance, Millis, Organisation, Service, UpstreamName},
     protocol::{
         Pool,
-        dispatch::{DispatchBody, DispatchMessage, Ending, Grant, GrantId},
+        dispatch::{DispatchBody, DispatchMessage, Grant, GrantId, GrantOutcome},
     },
 };
 
@@ -350,10 +350,10 @@
         match request.stage {
             Stage::Queued => {}
             Stage::Claiming { pool, grant } => {
-                self.end_grant(&pool, grant.id, Ending::Unused, 0, None);
+                self.end_grant(&pool, grant.id, GrantOutcome::Unused, 0, None);
             }
             Stage::Sent { pool, grant } => {
-                self.end_grant(&pool, grant, Ending::Unused, 0, None);
+                self.end_grant(&pool, grant, GrantOutcome::Unused, 0, None);
             }
         }
     }
--- a/src/kingcupgrade/coordination/entry/session.rs
+++ b/src/kingcupgrade/coordination/entry/session.rs
@@ -7,7 +7,9 @@
     core::{Instance, Millis, Organisation},
     protocol::{
         Pool,
-        dispatch::{DispatchBody, Finished, Grant, GrantId, Held, Session, Waiting},
+        dispatch::{
+            DispatchBody, FinishedGrant, Grant, GrantId, GrantInUse, QueuedRequests, Session,
+        },
     },
 };
 
@@ -59,7 +61,7 @@
     believed: BTreeMap<Organisation, u32>,
     /// Whether a change may matter to the dispatcher at once.
     is_urgent: bool,
-    finished: Vec<Finished>,
+    finished: Vec<FinishedGrant>,
     progress: BTreeMap<GrantId, u32>,
 }
 
@@ -96,7 +98,7 @@
     }
 
     /// Returns the opening message.
-    pub fn open(&mut self, waiting: Vec<Waiting>, held: Vec<Held>) -> DispatchBody {
+    pub fn open(&mut self, waiting: Vec<QueuedRequests>, held: Vec<GrantInUse>) -> DispatchBody {
         self.believed = waiting.iter().map(|w| (w.0.clone(), w.1)).collect();
         DispatchBody::Open { session: self.session, waiting, held }
     }
@@ -114,7 +116,7 @@
     }
 
     /// Notes that a grant's use has ended.
-    pub fn note_finished(&mut self, finished: Finished) {
+    pub fn note_finished(&mut self, finished: FinishedGrant) {
         self.progress.remove(&finished.id);
         self.finished.push(finished);
     }
@@ -202,14 +204,14 @@
     }
 
     /// Takes the counts that changed.
-    fn changed_counts(&mut self, waiting: impl Fn(&Organisation) -> u32) -> Vec<Waiting> {
+    fn changed_counts(&mut self, waiting: impl Fn(&Organisation) -> u32) -> Vec<QueuedRequests> {
         let changed = std::mem::take(&mut self.changed);
         let muted = self.muted;
         let counts = changed.into_iter().map(|organisation| {
             let count = if muted { 0 } else { waiting(&organisation) };
-            Waiting(organisation, count)
+            QueuedRequests(organisation, count)
         });
-        let counts: Vec<Waiting> = counts.collect();
+        let counts: Vec<QueuedRequests> = counts.collect();
         self.believed.extend(counts.iter().map(|w| (w.0.clone(), w.1)));
         self.believed.retain(|_, count| *count > 0);
         counts
--- a/src/kingcupgrade/coordination/entry/sessions.rs
+++ b/src/kingcupgrade/coordination/entry/sessions.rs
@@ -7,7 +7,8 @@
     protocol::{
         Pool,
         dispatch::{
-            DispatchBody, DispatchMessage, GrantId, Held, Offer, Session, SessionTag, Waiting,
+            DispatchBody, DispatchMessage, GrantId, GrantInUse, Offer, QueuedRequests, Session,
+            SessionTag,
         },
     },
 };
@@ -116,15 +117,17 @@
         out.push(EntryOutput::Send(to.clone(), message));
     }
 
-    fn all_waiting(&self, service: &Service) -> Vec<Waiting> {
+    fn all_waiting(&self, service: &Service) -> Vec<QueuedRequests> {
         let waiting = self.queues.waiting(service);
-        waiting.map(|(organisation, count)| Waiting(organisation.clone(), count as u32)).collect()
+        waiting
+            .map(|(organisation, count)| QueuedRequests(organisation.clone(), count as u32))
+            .collect()
     }
 
-    fn all_held(&self, pool: &Pool) -> Vec<Held> {
+    fn all_held(&self, pool: &Pool) -> Vec<GrantInUse> {
         let first = (pool.clone(), GrantId(0, 0));
         let of_pool = self.held.range(first..).take_while(|((p, _), _)| p == pool);
-        let as_held = |((_, id), held): (&(Pool, GrantId), &HeldGrant)| Held {
+        let as_held = |((_, id), held): (&(Pool, GrantId), &HeldGrant)| GrantInUse {
             id: *id,
             organisation: held.organisation.clone(),
             upstream: held.upstream.clone(),
--- a/src/kingcupgrade/protocol/dispatch.rs
+++ b/src/kingcupgrade/protocol/dispatch.rs
@@ -70,7 +70,7 @@
 
 /// A grant that an entry is still using when it opens a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct GrantInUse {
     /// The id of the grant.
     #[serde(rename = "i")]
     pub id: GrantId,
@@ -87,7 +87,7 @@
 
 /// How the use of a grant ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ending {
+pub enum GrantOutcome {
     /// The upstream sent a complete answer.
     #[serde(rename = "d")]
     Completed,
@@ -104,13 +104,13 @@
 
 /// A grant that is no longer in use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Finished {
+pub struct FinishedGrant {
     /// The id of the grant.
     #[serde(rename = "i")]
     pub id: GrantId,
     /// How its use ended.
     #[serde(rename = "e")]
-    pub ending: Ending,
+    pub outcome: GrantOutcome,
     /// The total cost of the request.
     #[serde(rename = "c")]
     pub cost: u32,
@@ -121,7 +121,7 @@
 
 /// The number of requests of one organisation that are queued at the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Waiting(
+pub struct QueuedRequests(
     /// The organisation.
     pub Organisation,
     /// The number of queued requests.
@@ -130,7 +130,7 @@
 
 /// The service that an organisation received in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Served(
+pub struct ServiceReceived(
     /// The organisation.
     pub OrganisationTag,
     /// The service received in the sender's failure domain, divided by the share. It never
@@ -178,10 +178,10 @@
         session: Session,
         /// The numbers of queued requests of all organisations.
         #[serde(rename = "w")]
-        waiting: Vec<Waiting>,
+        waiting: Vec<QueuedRequests>,
         /// All grants of the pool that are in use.
         #[serde(rename = "h")]
-        held: Vec<Held>,
+        held: Vec<GrantInUse>,
     },
     /// Reports changes within a session.
     #[serde(rename = "r")]
@@ -198,10 +198,10 @@
         received: u64,
         /// The new numbers of queued requests of the organisations for which they changed.
         #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
-        waiting: Vec<Waiting>,
+        waiting: Vec<QueuedRequests>,
         /// The grants that are no longer in use.
         #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
-        finished: Vec<Finished>,
+        finished: Vec<FinishedGrant>,
         /// The grants whose cost so far exceeds the expected cost, with that cost.
         #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
         progress: Vec<(GrantId, u32)>,
@@ -255,14 +255,14 @@
         least: Option<i64>,
         /// The service of the organisations for which it changed.
         #[serde(rename = "s")]
-        served: Vec<Served>,
+        served: Vec<ServiceReceived>,
     },
     /// Returns to a new dispatcher the known service of its failure domain.
     #[serde(rename = "k")]
     Recall {
         /// The service received in the failure domain of the receiver.
         #[serde(rename = "s")]
-        served: Vec<Served>,
+        served: Vec<ServiceReceived>,
     },
 }
 
--- a/tests/testsuite/model_nodes/world.rs
+++ b/tests/testsuite/model_nodes/world.rs
@@ -15,7 +15,7 @@
     },
     protocol::{
         Message,
-        dispatch::Served,
+        dispatch::ServiceReceived,
         record::{RecordMessage, StoredDocument},
     },
 };
@@ -455,7 +455,7 @@
                     .map(|o| (0, Organisation::from(o).tag(), counters.served(&o.into())));
                 let elsewhere = DOMAINS.iter().enumerate().flat_map(|(n, domain)| {
                     let remote = counters.remote(&(*domain).into());
-                    remote.into_iter().map(move |Served(o, total, _)| (1 + n, o, total))
+                    remote.into_iter().map(move |ServiceReceived(o, total, _)| (1 + n, o, total))
                 });
                 for (part, organisation, now) in here.into_iter().chain(elsewhere) {
                     let key = (place, dispatcher.term(), part, organisation);
