--- a/crates/kingcup-load/src/slopes.rs
+++ b/crates/kingcup-load/src/slopes.rs
@@ -28,7 +28,7 @@
             QueuedRequests, Session,
         },
         frame::Channel,
-        record::{ClaimId, Command as Change, KeptAnswer, RecordMessage, RequestKey, Settlement},
+        record::{ClaimId, Command as Change, RecordMessage, RequestKey, Settlement, StoredAnswer},
     },
     state::record::Record,
 };
@@ -303,7 +303,7 @@
             key: format!("deposit-{n:012}"),
         };
         let id = ClaimId(n as u64, 1);
-        let answer = KeptAnswer {
+        let answer = StoredAnswer {
             status: 200,
             content_type: "application/json".to_owned(),
             body: Some("{\"accepted\":true}".to_owned()),
--- a/src/kingcupgrade/coordination/node/mod.rs
+++ b/src/kingcupgrade/coordination/node/mod.rs
@@ -29,7 +29,7 @@
     protocol::{
         Message,
         operator::{OperatorReply, OperatorRequest},
-        record::{ClaimId, KeptAnswer, RequestKey},
+        record::{ClaimId, RequestKey, StoredAnswer},
     },
     state::log::{Log, Persist},
 };
@@ -82,7 +82,7 @@
         /// Time from sending to the first byte of the answer.
         first_byte_ms: Option<u32>,
         /// The answer to keep for a request key.
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredAnswer>,
     },
     /// A request has cost this much so far.
     Progressed(RequestId, u32),
@@ -128,7 +128,7 @@
         retry_after: Millis,
     },
     /// Answer a caller with a kept answer.
-    Replay(RequestId, KeptAnswer),
+    Replay(RequestId, StoredAnswer),
     /// Answer an operator.
     Answer(Ticket, OperatorReply),
     /// Ask the platform for the upstreams of these services from now on.
--- a/src/kingcupgrade/coordination/node/requests.rs
+++ b/src/kingcupgrade/coordination/node/requests.rs
@@ -14,7 +14,7 @@
     core::{Code, Millis, Service},
     protocol::{
         Message, Pool,
-        record::{ClaimId, Command, KeptAnswer, Reply, Settlement},
+        record::{ClaimId, Command, Reply, Settlement, StoredAnswer},
     },
 };
 
@@ -192,7 +192,7 @@
         end: AttemptEnd,
         cost: u32,
         first_byte_ms: Option<u32>,
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredAnswer>,
         out: &mut Vec<Output>,
     ) {
         let mut given_up = Vec::new();
--- a/src/kingcupgrade/protocol/record.rs
+++ b/src/kingcupgrade/protocol/record.rs
@@ -33,7 +33,7 @@
 
 /// An answer stored for replay to a repeated request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     /// The HTTP status.
     #[serde(rename = "s")]
     pub status: u16,
@@ -50,7 +50,7 @@
 pub enum Settlement {
     /// The request ran and was answered.
     #[serde(rename = "d")]
-    Done(KeptAnswer),
+    Done(StoredAnswer),
     /// The request is known not to have run, so the key may be claimed again.
     #[serde(rename = "r")]
     Released,
@@ -192,7 +192,7 @@
     Claimed,
     /// The request ran earlier, with this answer.
     #[serde(rename = "r")]
-    Replay(KeptAnswer),
+    Replay(StoredAnswer),
     /// The members after the change.
     #[serde(rename = "m")]
     Members(Vec<super::consensus::Member>),
--- a/src/kingcupgrade/state/keys.rs
+++ b/src/kingcupgrade/state/keys.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     core::{Code, Millis, Organisation, code::CodedError},
-    protocol::record::{ClaimId, KeptAnswer, Reply, RequestKey, Settlement},
+    protocol::record::{ClaimId, Reply, RequestKey, Settlement, StoredAnswer},
 };
 
 /// How long an ended key is remembered, by the record's time.
@@ -28,7 +28,7 @@
     #[serde(rename = "c")]
     Claimed(ClaimId, Millis),
     #[serde(rename = "d")]
-    Done(KeptAnswer),
+    Done(StoredAnswer),
     #[serde(rename = "u")]
     Unknown,
 }
@@ -111,7 +111,7 @@
     }
 
     /// Leaves the body out of an answer that would exceed the organisation's bound.
-    fn fit(&self, key: &RequestKey, answer: &KeptAnswer) -> KeptAnswer {
+    fn fit(&self, key: &RequestKey, answer: &StoredAnswer) -> StoredAnswer {
         let used = self.usage.get(&key.organisation).map_or(0, |usage| usage.bytes);
         let mut answer = answer.clone();
         let len = answer.body.as_ref().map_or(0, String::len);
--- a/src/kingcupgrade/transport/callers/answer.rs
+++ b/src/kingcupgrade/transport/callers/answer.rs
@@ -5,7 +5,7 @@
 use super::relay::content_type;
 use crate::{
     core::{Code, Millis, code::CodedError},
-    protocol::record::KeptAnswer,
+    protocol::record::StoredAnswer,
     transport::http::{self, AnswerStream, PendingAnswer, Request, refusal_body},
 };
 
@@ -27,7 +27,7 @@
     pending.stream(head)
 }
 
-pub(super) fn replay(answer: Answer, kept: &KeptAnswer) {
+pub(super) fn replay(answer: Answer, kept: &StoredAnswer) {
     let Answer::Pending(pending) = answer else { return };
     let body = kept.body.clone().unwrap_or_default().into_bytes();
     count(Code::Replayed);
--- a/src/kingcupgrade/transport/callers/relay.rs
+++ b/src/kingcupgrade/transport/callers/relay.rs
@@ -19,7 +19,7 @@
         node::Input,
     },
     core::{Code, ServiceKind},
-    protocol::record::KeptAnswer,
+    protocol::record::StoredAnswer,
     transport::{Event, Verdict, http::PendingAnswer, upstream},
 };
 
@@ -95,7 +95,7 @@
         end: AttemptEnd,
         cost: u32,
         first_byte: Option<Duration>,
-        kept: Option<KeptAnswer>,
+        kept: Option<StoredAnswer>,
     ) {
         let first_byte_ms = first_byte.map(|d| u32::try_from(d.as_millis()).unwrap_or(u32::MAX));
         let id = self.id;
@@ -123,7 +123,7 @@
             self.end(AttemptEnd::Broken, 0, Some(first_byte), None);
             return Some(answer);
         };
-        let kept = self.admitted.keyed.as_ref().map(|_| KeptAnswer {
+        let kept = self.admitted.keyed.as_ref().map(|_| StoredAnswer {
             status,
             content_type: content_type.clone(),
             body: String::from_utf8(body.clone()).ok(),
--- a/src/kingcupgrade/transport/mod.rs
+++ b/src/kingcupgrade/transport/mod.rs
@@ -34,7 +34,7 @@
     core::{Code, Millis, UpstreamName},
     protocol::{
         operator::{OperatorReply, OperatorRequest},
-        record::KeptAnswer,
+        record::StoredAnswer,
     },
 };
 
@@ -56,7 +56,7 @@
     /// The caller hung up; nothing more is sent for it.
     HungUp,
     /// Answer with a kept answer.
-    Replay(KeptAnswer),
+    Replay(StoredAnswer),
     /// Give it up.
     GiveUp {
         /// Why.
