--- a/src/bin/kingcup/commands/status.rs
+++ b/src/bin/kingcup/commands/status.rs
@@ -61,7 +61,7 @@
 
 fn print_domains_out(statuses: &[InstanceStatus]) {
     let Some(newest) = statuses.iter().max_by_key(|status| status.index) else { return };
-    for standing in newest.domains.iter().filter(|standing| standing.out) {
-        println!("failure domain {} is out", standing.name);
+    for availability in newest.domains.iter().filter(|availability| availability.out) {
+        println!("failure domain {} is out", availability.name);
     }
 }
--- a/src/kingcupgrade/coordination/view.rs
+++ b/src/kingcupgrade/coordination/view.rs
@@ -12,7 +12,7 @@
     core::{Document, FailureDomain, Millis, Service, UpstreamName},
     protocol::{
         order::UpstreamOrder,
-        record::{RecordMessage, Standing, StoredConfiguration, StoredDocument},
+        record::{Availability, RecordMessage, StoredConfiguration, StoredDocument},
     },
 };
 
@@ -36,8 +36,8 @@
 pub struct View {
     index: u64,
     documents: BTreeMap<Service, InForce>,
-    domains: BTreeMap<FailureDomain, Standing<FailureDomain>>,
-    upstreams: BTreeMap<UpstreamName, Standing<UpstreamName>>,
+    domains: BTreeMap<FailureDomain, Availability<FailureDomain>>,
+    upstreams: BTreeMap<UpstreamName, Availability<UpstreamName>>,
     orders: BTreeMap<UpstreamName, UpstreamOrder>,
     whole: Option<StoredConfiguration>,
     confirmed: Option<Millis>,
@@ -56,7 +56,7 @@
 
     /// Tells whether a failure domain is out.
     pub fn is_out(&self, domain: &FailureDomain) -> bool {
-        self.domains.get(domain).is_some_and(|standing| standing.out)
+        self.domains.get(domain).is_some_and(|availability| availability.out)
     }
 
     /// Returns the whole configuration in force, as its operator sent it.
@@ -65,7 +65,7 @@
     }
 
     /// Lists the standings of failure domains.
-    pub fn domains(&self) -> impl Iterator<Item = &Standing<FailureDomain>> {
+    pub fn domains(&self) -> impl Iterator<Item = &Availability<FailureDomain>> {
         self.domains.values()
     }
 
@@ -76,7 +76,7 @@
 
     /// Tells whether an upstream is leaving.
     pub fn is_leaving(&self, upstream: &UpstreamName) -> bool {
-        self.upstreams.get(upstream).is_some_and(|standing| standing.out)
+        self.upstreams.get(upstream).is_some_and(|availability| availability.out)
     }
 
     /// Lists the orders that stand.
@@ -109,11 +109,13 @@
         for stored in documents {
             changed |= self.merge_document(stored);
         }
-        for standing in domains {
-            changed |= merge_newer(&mut self.domains, &standing.name, standing, |s| s.index);
+        for availability in domains {
+            changed |=
+                merge_newer(&mut self.domains, &availability.name, availability, |s| s.index);
         }
-        for standing in upstreams {
-            changed |= merge_newer(&mut self.upstreams, &standing.name, standing, |s| s.index);
+        for availability in upstreams {
+            changed |=
+                merge_newer(&mut self.upstreams, &availability.name, availability, |s| s.index);
         }
         for order in orders {
             changed |= merge_newer(&mut self.orders, &order.upstream, order, |o| o.index);
--- a/src/kingcupgrade/protocol/operator.rs
+++ b/src/kingcupgrade/protocol/operator.rs
@@ -7,7 +7,7 @@
 use super::{
     consensus::Member,
     order::UpstreamOrder,
-    record::{Command, Reply, Standing, StoredDocument},
+    record::{Availability, Command, Reply, StoredDocument},
 };
 use crate::core::{FailureDomain, Instance, Service, UpstreamName, code::CodedError};
 
@@ -99,7 +99,7 @@
     /// The revisions in force, by service.
     pub revisions: BTreeMap<Service, u64>,
     /// The failure domains that have ever been taken out of service, with their current state.
-    pub domains: Vec<Standing<FailureDomain>>,
+    pub domains: Vec<Availability<FailureDomain>>,
     /// The orders to upstreams that are in force.
     pub orders: Vec<UpstreamOrder>,
     /// The number of open requests of callers.
--- a/src/kingcupgrade/protocol/record.rs
+++ b/src/kingcupgrade/protocol/record.rs
@@ -240,7 +240,7 @@
 
 /// Whether a failure domain is out of service or an upstream is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing<N> {
+pub struct Availability<N> {
     /// The name of the failure domain or upstream.
     #[serde(rename = "n")]
     pub name: N,
@@ -287,10 +287,10 @@
         documents: Vec<StoredDocument>,
         /// The changed failure domains.
         #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
-        domains: Vec<Standing<FailureDomain>>,
+        domains: Vec<Availability<FailureDomain>>,
         /// The changed upstreams.
         #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
-        upstreams: Vec<Standing<UpstreamName>>,
+        upstreams: Vec<Availability<UpstreamName>>,
         /// The changed orders to upstreams.
         #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
         orders: Vec<UpstreamOrder>,
--- a/src/kingcupgrade/state/record.rs
+++ b/src/kingcupgrade/state/record.rs
@@ -13,7 +13,9 @@
     protocol::{
         consensus::{LogEntry, Payload},
         order::{SetupChange, UpstreamOrder},
-        record::{Command, RecordMessage, Reply, Standing, StoredConfiguration, StoredDocument},
+        record::{
+            Availability, Command, RecordMessage, Reply, StoredConfiguration, StoredDocument,
+        },
     },
 };
 
@@ -33,9 +35,9 @@
     #[serde(rename = "d")]
     documents: BTreeMap<Service, VecDeque<StoredDocument>>,
     #[serde(rename = "f")]
-    domains: BTreeMap<FailureDomain, Standing<FailureDomain>>,
+    domains: BTreeMap<FailureDomain, Availability<FailureDomain>>,
     #[serde(rename = "u")]
-    upstreams: BTreeMap<UpstreamName, Standing<UpstreamName>>,
+    upstreams: BTreeMap<UpstreamName, Availability<UpstreamName>>,
     #[serde(rename = "o", default)]
     orders: BTreeMap<UpstreamName, UpstreamOrder>,
     #[serde(rename = "h", default)]
@@ -79,8 +81,8 @@
         for stored in self.documents.values_mut().filter_map(VecDeque::back_mut) {
             stored.index = index;
         }
-        self.domains.values_mut().for_each(|standing| standing.index = index);
-        self.upstreams.values_mut().for_each(|standing| standing.index = index);
+        self.domains.values_mut().for_each(|availability| availability.index = index);
+        self.upstreams.values_mut().for_each(|availability| availability.index = index);
         self.orders.values_mut().for_each(|order| order.index = index);
         if let Some(stored) = &mut self.whole {
             stored.index = index;
@@ -121,13 +123,13 @@
                 self.once(change, |record| record.apply_document(index, service, *base, text))
             }
             Command::SetDomain { change, domain, out } => self.once(change, |record| {
-                let standing = Standing { name: domain.clone(), out: *out, index };
-                record.domains.insert(domain.clone(), standing);
+                let availability = Availability { name: domain.clone(), out: *out, index };
+                record.domains.insert(domain.clone(), availability);
                 record.accept(index, 0)
             }),
             Command::SetLeaving { change, upstream, leaving } => self.once(change, |record| {
-                let standing = Standing { name: upstream.clone(), out: *leaving, index };
-                record.upstreams.insert(upstream.clone(), standing);
+                let availability = Availability { name: upstream.clone(), out: *leaving, index };
+                record.upstreams.insert(upstream.clone(), availability);
                 record.accept(index, 0)
             }),
             Command::Order { change, upstream, setup } => {
