--- a/src/kingcupgrade/protocol/record.rs
+++ b/src/kingcupgrade/protocol/record.rs
@@ -198,7 +198,7 @@
     Members(Vec<super::consensus::Member>),
     /// The complete configuration in force, if there is one.
     #[serde(rename = "w")]
-    Whole(Option<StoredConfiguration>),
+    Configuration(Option<StoredConfiguration>),
     /// The claim was settled.
     #[serde(rename = "s")]
     Settled,
--- a/src/kingcupgrade/state/record.rs
+++ b/src/kingcupgrade/state/record.rs
@@ -136,7 +136,7 @@
                 self.once(change, |record| record.order(index, upstream, setup))
             }
             Command::Replace(proposed) => self.replace(index, proposed),
-            Command::Read => Reply::Whole(self.whole.clone()),
+            Command::Read => Reply::Configuration(self.whole.clone()),
             // Members are entries of their own kind; this command never reaches the log.
             Command::ChangeMembers { .. } => {
                 Reply::Refused(CodedError::new(Code::MemberRefused, "not a change of the record"))
--- a/src/kingcupgrade/transport/controls.rs
+++ b/src/kingcupgrade/transport/controls.rs
@@ -173,10 +173,12 @@
 
     async fn read(&self) -> Answer {
         match self.fleet.ask(Command::Read, PATIENCE).await {
-            Some(Reply::Whole(Some(whole))) => {
+            Some(Reply::Configuration(Some(whole))) => {
                 answer(StatusCode::OK, Bytes::copy_from_slice(whole.text.as_bytes()))
             }
-            Some(Reply::Whole(None)) => refusal(Code::NotReady, "there is no configuration yet"),
+            Some(Reply::Configuration(None)) => {
+                refusal(Code::NotReady, "there is no configuration yet")
+            }
             Some(Reply::Refused(err)) => refuse(&err),
             _ => refusal(Code::NotLeader, "the record gave no answer"),
         }
--- a/tests/testsuite/model_fleet.rs
+++ b/tests/testsuite/model_fleet.rs
@@ -303,7 +303,7 @@
                 self.acknowledged = self.acknowledged.max(version);
                 self.acknowledgements += 1;
             }
-            (Some(Asked::Read { acknowledged }), Reply::Whole(whole)) => {
+            (Some(Asked::Read { acknowledged }), Reply::Configuration(whole)) => {
                 let version = whole.as_ref().map_or(0, |whole| whole.version);
                 assert!(version >= acknowledged, "read {version} after {acknowledged}");
                 if let Some(whole) = whole {
