--- a/src/kingcupgrade/coordination/fleet/io.rs
+++ b/src/kingcupgrade/coordination/fleet/io.rs
@@ -7,7 +7,7 @@
     core::{Instance, Millis, code::CodedError},
     protocol::{
         Message,
-        fleet::{ListingNews, LoadReport, Resident},
+        fleet::{FleetEntry, ListingUpdate, LoadReport},
         record::{Command, Reply},
     },
     state::log::Persist,
@@ -26,11 +26,11 @@
     /// This entry's load is to be told to the others.
     Share(LoadReport),
     /// The platform's list was read here for others.
-    ShareListing(ListingNews, ListingDuty),
+    ShareListing(ListingUpdate, ListingDuty),
     /// The platform's list is not known here; asked is who told of a change in it, or who may know.
     WantListing(Option<Instance>),
     /// An entry that wants the platform's list is told.
-    TellListing(Instance, ListingNews),
+    TellListing(Instance, ListingUpdate),
     /// The disk failed.
     StorageFailed(CodedError),
     /// The disk works again and holds this replica.
@@ -57,11 +57,11 @@
     /// The configuration or the standing of a failure domain changed.
     ViewChanged,
     /// The entries of the fleet are these.
-    Entries(Vec<Resident>),
+    Entries(Vec<FleetEntry>),
     /// Another entry told of its load.
     Heard(Instance, LoadReport),
     /// Another entry tells what it knows of the platform's list.
-    Listed(Instance, ListingNews),
+    Listed(Instance, ListingUpdate),
     /// Another entry wants the platform's list.
     ListingWanted(Instance),
     /// Whom this instance asks for the configuration, or whether it is confirmed, changed.
--- a/src/kingcupgrade/coordination/fleet/joining.rs
+++ b/src/kingcupgrade/coordination/fleet/joining.rs
@@ -8,7 +8,7 @@
     core::{Instance, Millis},
     protocol::{
         Message,
-        fleet::{FleetMessage, Resident},
+        fleet::{FleetEntry, FleetMessage},
     },
 };
 
@@ -70,7 +70,7 @@
         controls.dedup();
         let told = self.roster.tell(unix_ms, controls);
         let answer = match told.number == known {
-            true => FleetMessage::SameRoster(known),
+            true => FleetMessage::RosterUnchanged(known),
             false => {
                 let Told { number, entries, controls } = told.clone();
                 FleetMessage::Roster { number, entries, controls }
@@ -93,7 +93,7 @@
     }
 
     pub(super) fn neighbours(&self) -> Vec<Instance> {
-        let entries = self.roster.entries().into_iter().map(|Resident(entry, _)| entry);
+        let entries = self.roster.entries().into_iter().map(|FleetEntry(entry, _)| entry);
         entries.filter(|entry| *entry != self.instance).collect()
     }
 }
--- a/src/kingcupgrade/coordination/fleet/listing.rs
+++ b/src/kingcupgrade/coordination/fleet/listing.rs
@@ -6,7 +6,7 @@
     core::Instance,
     protocol::{
         Message,
-        fleet::{FleetMessage, ListingNews, Resident},
+        fleet::{FleetEntry, FleetMessage, ListingUpdate},
     },
 };
 
@@ -14,7 +14,7 @@
     /// Tells those for whom this entry reads.
     pub(super) fn share_listing(
         &mut self,
-        news: ListingNews,
+        news: ListingUpdate,
         duty: ListingDuty,
         out: &mut Vec<FleetOutput>,
     ) {
@@ -29,7 +29,7 @@
     /// Asks one entry for the whole list, or those that may know it.
     pub(super) fn want_listing(&mut self, from: Option<Instance>, out: &mut Vec<FleetOutput>) {
         let asked = from.map_or_else(|| self.listing_readers(), |from| vec![from]);
-        out.push(FleetOutput::SendToAll(asked, Message::Fleet(FleetMessage::ListingWanted)));
+        out.push(FleetOutput::SendToAll(asked, Message::Fleet(FleetMessage::ListingRequest)));
     }
 
     fn listing_readers(&self) -> Vec<Instance> {
@@ -42,7 +42,7 @@
         let own = &self.settings.failure_domain;
         let entries = self.roster.entries().into_iter();
         let here =
-            entries.filter(|Resident(entry, domain)| domain == own && *entry != self.instance);
-        here.map(|Resident(entry, _)| entry).collect()
+            entries.filter(|FleetEntry(entry, domain)| domain == own && *entry != self.instance);
+        here.map(|FleetEntry(entry, _)| entry).collect()
     }
 }
--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -255,17 +255,17 @@
                 self.roster.on_told(now, from, Told { number, entries, controls });
                 self.tell_entries(out);
             }
-            FleetMessage::SameRoster(number) => self.roster.on_same(now, from, number),
+            FleetMessage::RosterUnchanged(number) => self.roster.on_same(now, from, number),
             FleetMessage::Load(report) => {
                 self.roster.on_heard(now, from);
                 out.extend(self.totals.on_load(now, from, report).map(FleetOutput::from));
             }
-            FleetMessage::DomainSum(domain, sum) => self.totals.on_domain_sum(now, domain, sum),
+            FleetMessage::DomainLoad(domain, sum) => self.totals.on_domain_sum(now, domain, sum),
             FleetMessage::Total(total) => {
                 out.extend(self.totals.on_total(&self.instance, &total).map(FleetOutput::from));
             }
             FleetMessage::Listing(news) => out.push(FleetOutput::Listed(from.clone(), news)),
-            FleetMessage::ListingWanted => out.push(FleetOutput::ListingWanted(from.clone())),
+            FleetMessage::ListingRequest => out.push(FleetOutput::ListingWanted(from.clone())),
         }
     }
 
--- a/src/kingcupgrade/coordination/fleet/roster.rs
+++ b/src/kingcupgrade/coordination/fleet/roster.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     core::{FailureDomain, Instance, Millis, fleet::instance_role, settings::Role},
-    protocol::fleet::Resident,
+    protocol::fleet::FleetEntry,
 };
 
 /// An instance not heard for this long is not listed any more: several joins lost in a row.
@@ -27,7 +27,7 @@
     /// Its place among those of the control instance; 0 if there is none.
     pub number: u64,
     /// Entries that it heard of late.
-    pub entries: Vec<Resident>,
+    pub entries: Vec<FleetEntry>,
     /// The control instances that it knows.
     pub controls: Vec<Instance>,
 }
@@ -139,7 +139,7 @@
     }
 
     fn refresh(&mut self, now: Millis, told: &Told) {
-        for Resident(instance, domain) in &told.entries {
+        for FleetEntry(instance, domain) in &told.entries {
             self.entries.insert(instance.clone(), (domain.clone(), now));
         }
         for control in &told.controls {
@@ -171,8 +171,8 @@
     }
 
     /// Lists the entries.
-    pub fn entries(&self) -> Vec<Resident> {
-        self.entries.iter().map(|(i, (domain, _))| Resident(i.clone(), domain.clone())).collect()
+    pub fn entries(&self) -> Vec<FleetEntry> {
+        self.entries.iter().map(|(i, (domain, _))| FleetEntry(i.clone(), domain.clone())).collect()
     }
 
     /// Lists the control instances.
--- a/src/kingcupgrade/coordination/fleet/totals.rs
+++ b/src/kingcupgrade/coordination/fleet/totals.rs
@@ -13,7 +13,7 @@
     core::{FailureDomain, Instance, Millis, Organisation, UpstreamName},
     protocol::{
         Message,
-        fleet::{FleetMessage, KeptParts, Load, LoadReport, Resident, Total},
+        fleet::{CachedParts, FleetEntry, FleetLoad, FleetMessage, Load, LoadReport},
     },
     util::rendezvous,
 };
@@ -76,15 +76,15 @@
 }
 
 impl Layout {
-    fn new(own: &Instance, own_domain: &FailureDomain, residents: &[Resident]) -> Layout {
-        let others = residents.iter().filter(|Resident(entry, _)| entry != own);
+    fn new(own: &Instance, own_domain: &FailureDomain, residents: &[FleetEntry]) -> Layout {
+        let others = residents.iter().filter(|FleetEntry(entry, _)| entry != own);
         if residents.len() <= MESH_MOST {
-            let hearers = others.map(|Resident(entry, _)| entry.clone()).collect();
+            let hearers = others.map(|FleetEntry(entry, _)| entry.clone()).collect();
             return Layout { entries: residents.len(), hearers, ..Layout::default() };
         }
         let mut domains: BTreeMap<&FailureDomain, Vec<Instance>> = BTreeMap::new();
         domains.entry(own_domain).or_default().push(own.clone());
-        for Resident(entry, domain) in others {
+        for FleetEntry(entry, domain) in others {
             domains.entry(domain).or_default().push(entry.clone());
         }
         let collectors = |entries: &[Instance]| {
@@ -128,9 +128,9 @@
     /// The sums of the other failure domains.
     domains: BTreeMap<FailureDomain, (Millis, LoadReport)>,
     /// Parts kept by upstreams that this failure domain's entries told of, not passed on yet.
-    kept_here: Vec<KeptParts>,
+    kept_here: Vec<CachedParts>,
     /// The same that the collectors of the others told of.
-    kept_elsewhere: Vec<KeptParts>,
+    kept_elsewhere: Vec<CachedParts>,
 }
 
 impl Totals {
@@ -139,7 +139,7 @@
         &mut self,
         own: &Instance,
         domain: &FailureDomain,
-        residents: &[Resident],
+        residents: &[FleetEntry],
     ) {
         self.layout = Layout::new(own, domain, residents);
     }
@@ -195,7 +195,7 @@
         }
         let here = std::mem::take(&mut self.kept_here);
         let domain_sum = LoadReport { kept: here.clone(), ..sum.to_report() };
-        let message = FleetMessage::DomainSum(domain.clone(), domain_sum);
+        let message = FleetMessage::DomainLoad(domain.clone(), domain_sum);
         out.push(TotalsOutput::SendToAll(
             self.layout.far_collectors.clone(),
             Message::Fleet(message),
@@ -205,7 +205,7 @@
         }
         let mut kept = std::mem::take(&mut self.kept_elsewhere);
         kept.extend(here);
-        let total = Total { report: LoadReport { kept, ..sum.to_report() }, parts };
+        let total = FleetLoad { report: LoadReport { kept, ..sum.to_report() }, parts };
         out.extend(self.on_total(own, &total));
         out.push(TotalsOutput::SendToAll(members, Message::Fleet(FleetMessage::Total(total))));
     }
@@ -241,7 +241,7 @@
     }
 
     /// Takes in the total of the fleet, and takes this entry's part out of it.
-    pub(super) fn on_total(&self, own: &Instance, total: &Total) -> Option<TotalsOutput> {
+    pub(super) fn on_total(&self, own: &Instance, total: &FleetLoad) -> Option<TotalsOutput> {
         let mut sum = Sum::default();
         sum.add(&total.report, 1);
         let number = total.parts.iter().find(|(entry, _)| entry == own).map(|(_, number)| *number);
@@ -255,7 +255,7 @@
 }
 
 /// Adds what was told of kept parts, once where both collectors of a failure domain tell it.
-fn add_news(known: &mut Vec<KeptParts>, told: &mut Vec<KeptParts>) {
+fn add_news(known: &mut Vec<CachedParts>, told: &mut Vec<CachedParts>) {
     let news = std::mem::take(told).into_iter();
     for parts in news {
         if !known.contains(&parts) {
--- a/src/kingcupgrade/coordination/listing.rs
+++ b/src/kingcupgrade/coordination/listing.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     core::{Instance, Millis, UpstreamName},
-    protocol::fleet::{ListedUpstream, ListingNews},
+    protocol::fleet::{ListedUpstream, ListingUpdate},
     util::rendezvous,
 };
 
@@ -188,7 +188,7 @@
         own: &Instance,
         unix_ms: u64,
         upstreams: Vec<ListedUpstream>,
-    ) -> ListingNews {
+    ) -> ListingUpdate {
         let read = upstreams.into_iter().map(|listed| (listed.name.clone(), listed)).collect();
         let before = std::mem::replace(&mut self.upstreams, read);
         let base = if self.reader.as_ref() == Some(own) { self.number } else { 0 };
@@ -207,7 +207,7 @@
     }
 
     /// Takes in what another entry tells; false if it builds on a list that is not known here.
-    pub fn on_news(&mut self, news: ListingNews) -> bool {
+    pub fn on_news(&mut self, news: ListingUpdate) -> bool {
         let is_known = self.reader.as_ref() == Some(&news.reader) && self.number == news.base;
         if news.base == 0 {
             self.upstreams.clear();
@@ -225,11 +225,11 @@
 
     /// Returns the whole list as it is told to one that knows nothing; `None` if nothing is known
     /// here either.
-    pub fn whole(&self) -> Option<ListingNews> {
+    pub fn whole(&self) -> Option<ListingUpdate> {
         self.reader.as_ref().map(|reader| self.whole_by(reader))
     }
 
-    fn whole_by(&self, reader: &Instance) -> ListingNews {
+    fn whole_by(&self, reader: &Instance) -> ListingUpdate {
         self.news(reader, 0, self.upstreams.values().cloned().collect(), Vec::new())
     }
 
@@ -239,8 +239,8 @@
         base: u64,
         changed: Vec<ListedUpstream>,
         gone: Vec<UpstreamName>,
-    ) -> ListingNews {
+    ) -> ListingUpdate {
         let reader = reader.clone();
-        ListingNews { reader, age: Millis::ZERO, base, number: self.number, changed, gone }
+        ListingUpdate { reader, age: Millis::ZERO, base, number: self.number, changed, gone }
     }
 }
--- a/src/kingcupgrade/coordination/traffic/mod.rs
+++ b/src/kingcupgrade/coordination/traffic/mod.rs
@@ -45,7 +45,7 @@
         configuration::{Configuration, ServiceConfig},
         fleet::FleetSettings,
     },
-    protocol::fleet::{KeptParts, ListedUpstream, LoadReport},
+    protocol::fleet::{CachedParts, ListedUpstream, LoadReport},
 };
 
 /// The part of a connection limit that this entry's part is taken of: connections that are being
@@ -201,7 +201,7 @@
 
     /// Takes in what another entry tells of its load.
     pub fn on_report(&mut self, now: Millis, from: Instance, mut report: LoadReport) {
-        for KeptParts(name, parts) in std::mem::take(&mut report.kept) {
+        for CachedParts(name, parts) in std::mem::take(&mut report.kept) {
             if let Some(upstream) = self.upstreams.get_mut(&name) {
                 upstream.on_kept(now, &parts);
             }
@@ -218,7 +218,7 @@
     /// Returns what this entry tells the others, and counts it as told.
     pub fn tell(&mut self, now: Millis) -> LoadReport {
         let news = std::mem::take(&mut self.kept_news).into_iter();
-        let kept = news.map(|(name, parts)| KeptParts(name, parts)).collect();
+        let kept = news.map(|(name, parts)| CachedParts(name, parts)).collect();
         LoadReport { kept, ..self.report(now) }
     }
 
--- a/src/kingcupgrade/protocol/fleet.rs
+++ b/src/kingcupgrade/protocol/fleet.rs
@@ -9,7 +9,7 @@
 
 /// An entry and its failure domain, as listed in a roster.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Resident(
+pub struct FleetEntry(
     /// The entry.
     pub Instance,
     /// The failure domain in which it runs.
@@ -47,7 +47,7 @@
 
 /// The changes in the platform's listing since an earlier reading, or the complete listing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ListingNews {
+pub struct ListingUpdate {
     /// The entry that read the listing.
     #[serde(rename = "r")]
     pub reader: Instance,
@@ -84,7 +84,7 @@
 
 /// The parts of prompts that an upstream has in its cache.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeptParts(
+pub struct CachedParts(
     /// The upstream.
     pub UpstreamName,
     /// The ids of the parts.
@@ -108,7 +108,7 @@
     pub asked: Vec<(Organisation, f32)>,
     /// Shared parts of prompts that upstreams have cached since the previous report.
     #[serde(rename = "k", default)]
-    pub kept: Vec<KeptParts>,
+    pub kept: Vec<CachedParts>,
     /// Tokens recently refused to each organisation, as a decaying count over a shorter time.
     #[serde(rename = "f", default)]
     pub refused: Vec<(Organisation, f32)>,
@@ -116,7 +116,7 @@
 
 /// The load of all entries of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Total {
+pub struct FleetLoad {
     /// The sum of the reports of all entries.
     #[serde(rename = "r")]
     pub report: LoadReport,
@@ -154,27 +154,27 @@
         number: u64,
         /// The entries from which the sender has received a message recently.
         #[serde(rename = "e")]
-        entries: Vec<Resident>,
+        entries: Vec<FleetEntry>,
         /// The known control instances.
         #[serde(rename = "c")]
         controls: Vec<Instance>,
     },
     /// Confirms that the roster with this number is still current.
     #[serde(rename = "q")]
-    SameRoster(u64),
+    RosterUnchanged(u64),
     /// Reports the load of the sender to another entry.
     #[serde(rename = "l")]
     Load(LoadReport),
     /// Reports the load of a whole failure domain to the collectors of the others.
     #[serde(rename = "s")]
-    DomainSum(FailureDomain, LoadReport),
+    DomainLoad(FailureDomain, LoadReport),
     /// Reports the load of the whole fleet to the entries of a failure domain.
     #[serde(rename = "t")]
-    Total(Total),
+    Total(FleetLoad),
     /// Sends the platform's listing, or its changes, to entries.
     #[serde(rename = "u")]
-    Listing(ListingNews),
+    Listing(ListingUpdate),
     /// Requests the complete listing.
     #[serde(rename = "w")]
-    ListingWanted,
+    ListingRequest,
 }
--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -24,7 +24,7 @@
     core::{Instance, Millis, clock::Clock, fleet::FleetSettings, settings::Role},
     protocol::{
         Message,
-        fleet::{ListingNews, LoadReport, Resident},
+        fleet::{FleetEntry, ListingUpdate, LoadReport},
         record::{Command, Reply},
     },
     state::{
@@ -56,11 +56,11 @@
     /// The configuration or the standing of a failure domain changed.
     View(Arc<View>),
     /// The entries of the fleet are these.
-    Entries(Vec<Resident>),
+    Entries(Vec<FleetEntry>),
     /// Another entry told of its load.
     Heard(Instance, LoadReport),
     /// Another entry tells what it knows of the platform's list.
-    Listed(Instance, ListingNews),
+    Listed(Instance, ListingUpdate),
     /// Another entry wants the platform's list.
     ListingWanted(Instance),
 }
--- a/src/kingcupgrade/transport/gateway/listing.rs
+++ b/src/kingcupgrade/transport/gateway/listing.rs
@@ -22,7 +22,7 @@
         listing::{KnownListing, ListingDuty, MAX_TOLD_AGE},
     },
     core::{Instance, Millis},
-    protocol::fleet::{ListedUpstream, ListingNews},
+    protocol::fleet::{ListedUpstream, ListingUpdate},
     transport::fleet::unix_ms,
     util::log,
 };
@@ -82,13 +82,13 @@
         let news = known.listing.on_read(&self.settings.instance(), unix_ms(), upstreams);
         drop(known);
         if let Some(age) = read_time {
-            self.fleet.tell(FleetInput::ShareListing(ListingNews { age, ..news }, duty));
+            self.fleet.tell(FleetInput::ShareListing(ListingUpdate { age, ..news }, duty));
         }
         self.set_listing();
     }
 
     /// Takes in what another entry tells; asks it for the whole list if that is needed.
-    pub(super) fn on_listing_news(&self, from: Instance, news: ListingNews) {
+    pub(super) fn on_listing_news(&self, from: Instance, news: ListingUpdate) {
         let age = news.age;
         let mut known = self.listing.borrow_mut();
         if !known.listing.on_news(news) {
@@ -112,7 +112,7 @@
         let known = self.listing.borrow();
         let age = known.age.as_ref().and_then(Age::get).filter(|age| *age < MAX_TOLD_AGE);
         if let (Some(age), Some(news)) = (age, known.listing.whole()) {
-            self.fleet.tell(FleetInput::TellListing(to, ListingNews { age, ..news }));
+            self.fleet.tell(FleetInput::TellListing(to, ListingUpdate { age, ..news }));
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -54,7 +54,7 @@
         traffic::{RequestNo, Traffic, Verdict},
     },
     core::{Code, Instance, Millis, clock::Clock, fleet::FleetSettings},
-    protocol::fleet::Resident,
+    protocol::fleet::FleetEntry,
     util::log,
 };
 
@@ -197,10 +197,10 @@
             }
             FleetNews::Entries(entries) => {
                 let own = &self.settings.failure_domain;
-                let here = entries.iter().filter(|Resident(_, domain)| domain == own);
-                let here: Vec<Instance> = here.map(|Resident(entry, _)| entry.clone()).collect();
+                let here = entries.iter().filter(|FleetEntry(_, domain)| domain == own);
+                let here: Vec<Instance> = here.map(|FleetEntry(entry, _)| entry.clone()).collect();
                 let all: Vec<Instance> =
-                    entries.into_iter().map(|Resident(entry, _)| entry).collect();
+                    entries.into_iter().map(|FleetEntry(entry, _)| entry).collect();
                 let neighbours = Neighbours { fleet: &all, domain: &here };
                 let duty = neighbours.duty(&self.settings.instance());
                 if self.listing_duty.replace(duty) != duty {
--- a/tests/testsuite/listing.rs
+++ b/tests/testsuite/listing.rs
@@ -3,7 +3,7 @@
 use kingcupgrade::{
     coordination::listing::{KnownListing, ListingDuty, ListingPlan, Neighbours},
     core::{Instance, Millis},
-    protocol::fleet::{ListedUpstream, ListingNews},
+    protocol::fleet::{ListedUpstream, ListingUpdate},
 };
 
 fn entries(count: usize) -> Vec<Instance> {
@@ -233,7 +233,7 @@
     let mut restarted = KnownListing::default();
     restarted.on_read(&readers[0], 2_500, all(&["x"]));
     assert!(!hearer.on_news(restarted.on_read(&readers[0], 2_600, all(&["x", "y"]))));
-    let other: ListingNews = restarted.on_read(&readers[1], 2_700, all(&["x"]));
+    let other: ListingUpdate = restarted.on_read(&readers[1], 2_700, all(&["x"]));
     assert_eq!(other.base, 0, "a new reader tells the whole list");
     assert!(hearer.on_news(other));
     assert_eq!(names(&hearer), ["x"]);
--- a/tests/testsuite/roster.rs
+++ b/tests/testsuite/roster.rs
@@ -15,7 +15,7 @@
     protocol::{
         Message,
         consensus::{INITIAL_REPLICA, Member, ReplicaId},
-        fleet::{FleetMessage, Resident},
+        fleet::{FleetEntry, FleetMessage},
         frame::Payload,
     },
     state::log::Stored,
@@ -54,7 +54,7 @@
     now: u64,
     nodes: BTreeMap<Instance, FleetNode>,
     /// Who is there, as each entry was last told.
-    known: BTreeMap<Instance, Vec<Resident>>,
+    known: BTreeMap<Instance, Vec<FleetEntry>>,
     /// Bytes of answers about who is there.
     roster_bytes: usize,
     /// Answers about who is there that get lost from now on.
@@ -112,7 +112,7 @@
     fn deliver(&mut self, from: &Instance, to: &Instance, message: Message) {
         let is_roster = matches!(
             message,
-            Message::Fleet(FleetMessage::Roster { .. } | FleetMessage::SameRoster(_))
+            Message::Fleet(FleetMessage::Roster { .. } | FleetMessage::RosterUnchanged(_))
         );
         if is_roster {
             self.roster_bytes += Payload::new(&message).bytes().len();
--- a/tests/testsuite/totals.rs
+++ b/tests/testsuite/totals.rs
@@ -12,7 +12,7 @@
     },
     protocol::{
         Message,
-        fleet::{FleetMessage, KeptParts, Load, LoadReport, Resident},
+        fleet::{CachedParts, FleetEntry, FleetMessage, Load, LoadReport},
     },
 };
 
@@ -21,12 +21,12 @@
 /// Entries that pass messages on at once.
 struct Fleet {
     nodes: BTreeMap<Instance, FleetNode>,
-    residents: Vec<Resident>,
+    residents: Vec<FleetEntry>,
     /// What each has heard, by who told it.
     heard: BTreeMap<Instance, BTreeMap<Instance, LoadReport>>,
     messages: BTreeMap<Instance, usize>,
     /// The parts of prompts that each was told upstreams keep.
-    kept: BTreeMap<Instance, Vec<KeptParts>>,
+    kept: BTreeMap<Instance, Vec<CachedParts>>,
     down: Vec<Instance>,
 }
 
@@ -38,8 +38,8 @@
     fn start(count: usize) -> Fleet {
         let domain = |entry: usize| DOMAINS[entry % DOMAINS.len()];
         let resident =
-            |entry| Resident(instance_name(Role::Entry, ip(entry)), domain(entry).into());
-        let residents: Vec<Resident> = (0..count).map(resident).collect();
+            |entry| FleetEntry(instance_name(Role::Entry, ip(entry)), domain(entry).into());
+        let residents: Vec<FleetEntry> = (0..count).map(resident).collect();
         let node = |entry: usize| {
             let settings = FleetSettings {
                 ip: ip(entry),
@@ -68,7 +68,7 @@
     }
 
     fn names(&self) -> Vec<Instance> {
-        self.residents.iter().map(|Resident(entry, _)| entry.clone()).collect()
+        self.residents.iter().map(|FleetEntry(entry, _)| entry.clone()).collect()
     }
 
     fn handle(&mut self, now: Millis, entry: &Instance, input: FleetInput) {
@@ -174,7 +174,7 @@
     for count in [3, 16, 17, 84] {
         let mut fleet = Fleet::start(count);
         fleet.share(Millis::ZERO, |_| 1);
-        let kept = KeptParts("engine".into(), vec![7, 8]);
+        let kept = CachedParts("engine".into(), vec![7, 8]);
         let teller = fleet.names().pop().expect("an entry");
         let report = LoadReport { kept: vec![kept.clone()], ..LoadReport::default() };
         fleet.handle(Millis(200), &teller, FleetInput::Share(report));
@@ -184,7 +184,7 @@
         for entry in fleet.names().iter().filter(|entry| **entry != teller) {
             let heard = fleet.kept.get(entry).map_or(0, |kept| {
                 kept.iter()
-                    .filter(|parts| **parts == KeptParts("engine".into(), vec![7, 8]))
+                    .filter(|parts| **parts == CachedParts("engine".into(), vec![7, 8]))
                     .count()
             });
             // By each of two collectors, from each of the two of the teller's failure domain.
