--- a/crates/kingcup-support/src/traffic.rs
+++ b/crates/kingcup-support/src/traffic.rs
@@ -65,7 +65,7 @@
         slots: if service == "engine" { ENGINE_SLOTS } else { 6 },
         is_ready: true,
         cold,
-        born: 1,
+        started_unix_ms: 1,
     }
 }
 
--- a/src/kingcupgrade/coordination/traffic/upstream.rs
+++ b/src/kingcupgrade/coordination/traffic/upstream.rs
@@ -82,7 +82,8 @@
 
     /// Takes in a newer listing; an upstream that started anew knows nothing of before.
     pub fn relist(&mut self, now: Millis, listed: ListedUpstream) {
-        let is_reborn = listed.born != self.listed.born || listed.address != self.listed.address;
+        let is_reborn = listed.started_unix_ms != self.listed.started_unix_ms
+            || listed.address != self.listed.address;
         if is_reborn {
             self.kept.clear();
             self.health = Health::default();
--- a/src/kingcupgrade/protocol/fleet.rs
+++ b/src/kingcupgrade/protocol/fleet.rs
@@ -42,7 +42,7 @@
     pub cold: Millis,
     /// The wall clock at its start, in milliseconds since the Unix epoch; 0 if unknown.
     #[serde(rename = "b")]
-    pub born: u64,
+    pub started_unix_ms: u64,
 }
 
 /// The changes in the platform's listing since an earlier reading, or the complete listing.
--- a/tests/testsuite/listing.rs
+++ b/tests/testsuite/listing.rs
@@ -183,7 +183,7 @@
         slots: 6,
         is_ready,
         cold: Millis::ZERO,
-        born: 1,
+        started_unix_ms: 1,
     }
 }
 
