--- a/crates/kingcup-load/src/main.rs
+++ b/crates/kingcup-load/src/main.rs
@@ -38,7 +38,7 @@
         KingcupLoadCmd::Drive(_) => drive::exec(),
         KingcupLoadCmd::Decisions(_) => decisions::exec(),
         KingcupLoadCmd::Instance(args) => ops::serve(&args.settings).map(|()| true),
-        KingcupLoadCmd::Init(args) => ops::found(&args.settings, None).map(|()| true),
+        KingcupLoadCmd::Init(args) => ops::init(&args.settings, None).map(|()| true),
     };
     match result {
         Ok(true) => ExitCode::SUCCESS,
--- a/src/bin/kingcup/commands/apply.rs
+++ b/src/bin/kingcup/commands/apply.rs
@@ -3,7 +3,7 @@
 use anyhow::Context as _;
 use kingcupgrade::{
     core::{Code, Document, Service, code::CodedError},
-    ops::coded,
+    ops::coded_error,
     protocol::{
         operator::{OperatorReply, OperatorRequest},
         record::Command,
@@ -33,7 +33,7 @@
     match cx.client.ask(&request) {
         Ok(OperatorReply::Document(stored)) => Ok(stored.revision),
         Ok(_) => Ok(0),
-        Err(err) if coded(&err).is_some_and(is_not_found) => Ok(0),
+        Err(err) if coded_error(&err).is_some_and(is_not_found) => Ok(0),
         Err(err) => Err(err),
     }
 }
--- a/src/bin/kingcup/main.rs
+++ b/src/bin/kingcup/main.rs
@@ -29,7 +29,7 @@
 }
 
 fn exit_code(err: &anyhow::Error) -> u8 {
-    match ops::coded(err).map(|coded| coded.code) {
+    match ops::coded_error(err).map(|coded| coded.code) {
         Some(Code::RevisionConflict) => CONFLICT,
         Some(code) if code.outcome() == Outcome::Unknown => UNKNOWN,
         _ => REFUSED,
--- a/src/bin/kingcupd/main.rs
+++ b/src/bin/kingcupd/main.rs
@@ -12,7 +12,7 @@
     let flags = Kingcupd::from_env_or_exit();
     let result = match flags.subcommand {
         KingcupdCmd::Run(run) => ops::serve(&run.settings),
-        KingcupdCmd::Init(init) => ops::found(&init.settings, init.from.as_deref()),
+        KingcupdCmd::Init(init) => ops::init(&init.settings, init.from.as_deref()),
         KingcupdCmd::Check(check) => check_settings(&check),
     };
     match result {
--- a/src/kingcupgrade/ops/found.rs
+++ b/src/kingcupgrade/ops/init.rs
@@ -25,7 +25,7 @@
 ///
 /// Returns an error if the settings specify no data folder, the folder already contains a replica,
 /// or the backup is corrupt.
-pub fn found(path: &Path, backup: Option<&Path>) -> anyhow::Result<()> {
+pub fn init(path: &Path, backup: Option<&Path>) -> anyhow::Result<()> {
     let settings = Settings::load(path)?;
     let folder = settings.data.as_ref().context("the settings specify no data folder")?;
     let controls = settings.with_role(Role::Control);
--- a/src/kingcupgrade/ops/operator.rs
+++ b/src/kingcupgrade/ops/operator.rs
@@ -143,6 +143,6 @@
 }
 
 /// Returns the first [`CodedError`] in a chain of errors, if there is one.
-pub fn coded(err: &anyhow::Error) -> Option<&CodedError> {
+pub fn coded_error(err: &anyhow::Error) -> Option<&CodedError> {
     err.chain().find_map(|cause| cause.downcast_ref::<CodedError>())
 }
--- a/src/kingcupgrade/ops/verify.rs
+++ b/src/kingcupgrade/ops/verify.rs
@@ -8,7 +8,7 @@
 
 /// A summary of a data folder that was verified.
 #[derive(Clone, Debug)]
-pub struct Verified {
+pub struct DataFolderSummary {
     /// The id of the replica, as `INSTANCE#NUMBER`.
     pub replica: String,
     /// The highest term that the replica has seen.
@@ -30,11 +30,11 @@
 /// # Errors
 ///
 /// Returns an error with the file and offset of the first corruption found.
-pub fn verify(folder: &Path) -> Result<Verified, CodedError> {
+pub fn verify(folder: &Path) -> Result<DataFolderSummary, CodedError> {
     let contents = disk::read(folder)?;
     let log = &contents.stored.log;
     let record = Record::decode(&log.snapshot().data)?;
-    Ok(Verified {
+    Ok(DataFolderSummary {
         replica: contents.id.to_string(),
         term: contents.stored.hard_state.term,
         snapshot_index: log.snapshot().position.index,
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -216,7 +216,7 @@
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
     for model in ["", "two words", &"x".repeat(300)] {
         let err = world.fleet.order("engine-north", load(model)).expect_err("a refused order");
-        assert_eq!(ops::coded(&err).map(|err| err.code), Some(Code::OrderInvalid), "{err:#}");
+        assert_eq!(ops::coded_error(&err).map(|err| err.code), Some(Code::OrderInvalid), "{err:#}");
     }
     let status = world.fleet.status("entry-north-0").expect("a status");
     assert!(status.orders.is_empty());
--- a/tests/testsuite/record/disks.rs
+++ b/tests/testsuite/record/disks.rs
@@ -196,9 +196,9 @@
     for (control, _) in &controls {
         world.fleet.kill(control);
         fs::remove_dir_all(world.fleet.data_folder(control)).expect("a removed folder");
-        ops::found(world.fleet.settings_path(control), Some(&backup)).expect("a restored folder");
+        ops::init(world.fleet.settings_path(control), Some(&backup)).expect("a restored folder");
     }
-    let again = ops::found(world.fleet.settings_path("control-north"), Some(&backup));
+    let again = ops::init(world.fleet.settings_path("control-north"), Some(&backup));
     assert!(again.is_err(), "a folder in use was overwritten");
     controls.iter().for_each(|(control, _)| world.fleet.run(control).expect("a started instance"));
     let restored = || {
@@ -211,6 +211,6 @@
     let mut bytes = fs::read(&backup).expect("a backup");
     bytes[40] ^= 1;
     fs::write(&damaged, bytes).expect("a damaged backup");
-    let refused = ops::found(world.fleet.settings_path("control-north"), Some(&damaged));
+    let refused = ops::init(world.fleet.settings_path("control-north"), Some(&damaged));
     assert!(refused.is_err());
 }
--- a/tests/testsuite/record/mod.rs
+++ b/tests/testsuite/record/mod.rs
@@ -20,7 +20,7 @@
 };
 use kingcupgrade::{
     core::Code,
-    ops::{coded, fresh_change_id, verify},
+    ops::{coded_error, fresh_change_id, verify},
     protocol::{
         consensus::Member,
         operator::{OperatorReply, OperatorRequest},
@@ -238,7 +238,9 @@
     };
     let race = |change: &'static str| {
         let (client, command) = (fleet.client(), apply(change));
-        thread::spawn(move || client.change(command).map_err(|err| coded(&err).map(|e| e.code)))
+        thread::spawn(move || {
+            client.change(command).map_err(|err| coded_error(&err).map(|e| e.code))
+        })
     };
     let (first, second) = (race("first"), race("second"));
     let results = [first.join().expect("an operator"), second.join().expect("an operator")];
