--- a/src/bin/kingcup/commands/apply.rs
+++ b/src/bin/kingcup/commands/apply.rs
@@ -22,9 +22,9 @@
         None => newest_revision(cx, &service)?,
     };
     let change = Context::change_id(args.change_id)?;
-    let what = format!("document of {service}");
+    let description = format!("document of {service}");
     let command = Command::ApplyDocument { change, service, base, text };
-    cx.change(command, &what, args.wait)
+    cx.change(command, &description, args.wait)
 }
 
 /// Returns the newest revision known to the fleet, or 0 if there is none.
--- a/src/bin/kingcup/commands/domain.rs
+++ b/src/bin/kingcup/commands/domain.rs
@@ -11,6 +11,6 @@
     };
     let change = Context::change_id(args.change_id)?;
     let domain = FailureDomain::from(args.name.as_str());
-    let what = format!("failure domain {domain} {}", args.action);
-    cx.change(Command::SetDomain { change, domain, out }, &what, args.wait)
+    let description = format!("failure domain {domain} {}", args.action);
+    cx.change(Command::SetDomain { change, domain, out }, &description, args.wait)
 }
--- a/src/bin/kingcup/commands/mod.rs
+++ b/src/bin/kingcup/commands/mod.rs
@@ -73,13 +73,13 @@
 
     /// Applies a command to the record, prints the result and, if `wait` is set, waits until the
     /// change is in force.
-    fn change(&self, command: Command, what: &str, wait: bool) -> anyhow::Result<()> {
+    fn change(&self, command: Command, description: &str, wait: bool) -> anyhow::Result<()> {
         let Reply::Accepted { revision, index } = self.client.change(command)? else {
             anyhow::bail!("unexpected reply of the record to the change");
         };
         match revision {
-            0 => println!("{what}: accepted"),
-            revision => println!("{what}: accepted as revision {revision}"),
+            0 => println!("{description}: accepted"),
+            revision => println!("{description}: accepted as revision {revision}"),
         }
         if wait { self.wait_in_force(index) } else { Ok(()) }
     }
--- a/src/bin/kingcup/commands/order.rs
+++ b/src/bin/kingcup/commands/order.rs
@@ -26,13 +26,13 @@
         }
     };
     let name = args.name.as_deref().context("expected the name of the upstream")?;
-    let what = match value {
+    let description = match value {
         Some(value) => format!("order to {name}: {} {value}", args.action),
         None => format!("order to {name}: {}", args.action),
     };
     let change = Context::change_id(args.change_id)?;
     let upstream = UpstreamName::from(name);
-    cx.change(Command::Order { change, upstream, setup }, &what, args.wait)
+    cx.change(Command::Order { change, upstream, setup }, &description, args.wait)
 }
 
 fn list(cx: &Context) -> anyhow::Result<()> {
--- a/src/bin/kingcup/commands/upstream.rs
+++ b/src/bin/kingcup/commands/upstream.rs
@@ -11,6 +11,6 @@
     };
     let change = Context::change_id(args.change_id)?;
     let upstream = UpstreamName::from(args.name.as_str());
-    let what = format!("upstream {upstream} {}", args.action);
-    cx.change(Command::SetLeaving { change, upstream, leaving }, &what, args.wait)
+    let description = format!("upstream {upstream} {}", args.action);
+    cx.change(Command::SetLeaving { change, upstream, leaving }, &description, args.wait)
 }
--- a/src/kingcupgrade/ops/init.rs
+++ b/src/kingcupgrade/ops/init.rs
@@ -12,7 +12,7 @@
 /// The offset added to the last index of a backup when it is restored. It exceeds the number of
 /// changes that instances can have received after the backup was written, so that every index of
 /// the restored record is higher than any index they know.
-const RESTORE_JUMP: u64 = 1_000_000_000;
+const RESTORE_INDEX_OFFSET: u64 = 1_000_000_000;
 
 /// Creates the data folder of an initial member of a new record, either empty or from a backup.
 ///
@@ -36,7 +36,7 @@
     };
     let (index, data) = read_backup(backup)?;
     let mut record = Record::decode(&data)?;
-    let position = Position { term: 1, index: index + RESTORE_JUMP };
+    let position = Position { term: 1, index: index + RESTORE_INDEX_OFFSET };
     record.restamp(position.index);
     disk::found_from(folder, &settings.instance, &members, position, record.encode())?;
     Ok(())
