--- a/src/kingcupgrade/core/document.rs
+++ b/src/kingcupgrade/core/document.rs
@@ -198,7 +198,7 @@
 
     fn check(&self) -> Result<(), String> {
         if !is_valid_name(self.service.as_str()) {
-            return Err(format!("service: {:?} is no valid name", self.service.as_str()));
+            return Err(format!("service: {:?} is not a valid name", self.service.as_str()));
         }
         if self.organisations.is_empty() {
             return Err("organisations: expected at least one".to_owned());
@@ -230,7 +230,7 @@
                 ));
             }
             if !is_valid_name(name.as_str()) {
-                return Err(format!("organisations: {:?} is no valid name", name.as_str()));
+                return Err(format!("organisations: {:?} is not a valid name", name.as_str()));
             }
             if !(1..=MAX_SHARE).contains(&config.share) {
                 return Err(format!("organisations.{name}.share: expected 1 to {MAX_SHARE}"));
@@ -296,7 +296,9 @@
                 access.next_entry::<Organisation, OrganisationConfig>()?
             {
                 if organisations.contains_key(&name) {
-                    return Err(de::Error::custom(format!("organisation {name} stands twice")));
+                    return Err(de::Error::custom(format!(
+                        "organisation {name} is listed more than once"
+                    )));
                 }
                 organisations.insert(name, config);
             }
--- a/src/kingcupgrade/core/settings.rs
+++ b/src/kingcupgrade/core/settings.rs
@@ -150,7 +150,7 @@
         for (i, peer) in self.peers.iter().enumerate() {
             for name in [peer.instance.as_str(), peer.failure_domain.as_str()] {
                 if !is_valid_name(name) {
-                    return Err(format!("peers[{i}]: {name:?} is no valid name"));
+                    return Err(format!("peers[{i}]: {name:?} is not a valid name"));
                 }
             }
             if !seen.insert(&peer.instance) {
