--- a/src/kingcupgrade/core/configuration.rs
+++ b/src/kingcupgrade/core/configuration.rs
@@ -47,7 +47,8 @@
     pub path_prefix: String,
     /// Whether requests may be retried, and the form of their answers.
     pub kind: RouteKind,
-    /// The maximum time from the arrival of a request to the end of its answer.
+    /// The maximum time from the arrival of a request to the end of its answer. The deadline of the
+    /// caller may be shorter.
     pub timeout: Millis,
     /// The target time to the first byte of an answer.
     pub target_latency: Millis,
--- a/src/kingcupgrade/core/document.rs
+++ b/src/kingcupgrade/core/document.rs
@@ -32,7 +32,7 @@
 pub enum ServiceKind {
     /// Streams its answers. The cost of a request is the number of events in its answer.
     ModelEngine,
-    /// Sends each answer at once. Every request costs 1.
+    /// Sends complete answers instead of streams. Every request costs 1.
     PlainService,
 }
 
