--- a/crates/kingcup-load/src/drive.rs
+++ b/crates/kingcup-load/src/drive.rs
@@ -97,7 +97,7 @@
 #[derive(Default)]
 struct Granter {
     session: Option<SessionTag>,
-    heard: u64,
+    last_report: u64,
     granted: u64,
     waiting: BTreeMap<Organisation, u32>,
 }
@@ -210,7 +210,7 @@
                     domains: Vec::new(),
                     upstreams: Vec::new(),
                     orders: Vec::new(),
-                    whole: None,
+                    configuration: None,
                 };
                 self.post(to, Message::Record(state));
             }
@@ -245,7 +245,7 @@
             }
             (DispatchBody::Report { seq, waiting, .. }, None) => {
                 let granter = self.granters.entry(message.pool).or_default();
-                granter.heard = seq;
+                granter.last_report = seq;
                 granter.waiting.extend(waiting.into_iter().map(|QueuedRequests(o, n)| (o, n)));
             }
             _ => {}
@@ -271,10 +271,10 @@
                 }
             }
             granter.granted += grants.len() as u64;
-            let (heard, granted) = (granter.heard, granter.granted);
+            let (last_report, granted) = (granter.last_report, granter.granted);
             let holder = holder_of(&pool.0);
             if !grants.is_empty() {
-                let body = DispatchBody::Grants { session, heard, grants };
+                let body = DispatchBody::Grants { session, last_report, grants };
                 self.post_dispatch(&holder, pool, body);
             } else if self.now.is_multiple_of(1_000) {
                 let body = DispatchBody::Ack { session, granted, offers: Vec::new() };
--- a/crates/kingcup-load/src/slopes.rs
+++ b/crates/kingcup-load/src/slopes.rs
@@ -232,7 +232,7 @@
     let before = resident();
     let (mut next, mut bytes, mut messages) = (1_u64, 0, 0);
     let mut running = std::collections::VecDeque::new();
-    let mut heard = 0;
+    let mut last_report = 0;
     let mut idle = std::time::Duration::ZERO;
     let mut start = Instant::now();
     let mut measured_from = 0;
@@ -250,7 +250,7 @@
         machine.arrive(now, arrival, &document, &mut out);
         let id = GrantId(1, next);
         let grant = Grant { id, organisation, upstream: "engine-01".into(), address: address() };
-        let body = DispatchBody::Grants { session, heard, grants: vec![grant] };
+        let body = DispatchBody::Grants { session, last_report, grants: vec![grant] };
         let message = DispatchMessage { pool: pool(), term: 1, origin: None, body };
         machine.on_message(now, &view, &holder, &message, &mut out);
         running.push_back(next);
@@ -262,7 +262,7 @@
         for output in out.drain(..) {
             let EntryOutput::Send(_, message) = output else { continue };
             if let DispatchBody::Report { seq, .. } = &message.body {
-                heard = *seq;
+                last_report = *seq;
             }
             let pause = Instant::now();
             messages += 1;
@@ -360,7 +360,7 @@
         domains: Vec::new(),
         upstreams: Vec::new(),
         orders: Vec::new(),
-        whole: None,
+        configuration: None,
     };
     let mut out = Vec::new();
     let start = Instant::now();
--- a/src/kingcupgrade/coordination/dispatcher/grants.rs
+++ b/src/kingcupgrade/coordination/dispatcher/grants.rs
@@ -59,8 +59,8 @@
         }
         for (entry, grants) in batches {
             let Some(session) = self.demand.session(&entry) else { continue };
-            let heard = self.demand.last_report(&entry);
-            self.send(&entry, DispatchBody::Grants { session, heard, grants }, out);
+            let last_report = self.demand.last_report(&entry);
+            self.send(&entry, DispatchBody::Grants { session, last_report, grants }, out);
         }
     }
 
--- a/src/kingcupgrade/coordination/entry/mod.rs
+++ b/src/kingcupgrade/coordination/entry/mod.rs
@@ -292,9 +292,9 @@
     ) {
         self.refuse_stray(from, message, out);
         match &message.body {
-            DispatchBody::Grants { session, heard, grants } => {
+            DispatchBody::Grants { session, last_report, grants } => {
                 let Some(state) = self.current(&message.pool, *session) else { return };
-                if !state.may_use_grants(now, *heard) {
+                if !state.may_use_grants(now, *last_report) {
                     self.reopen(now, &message.pool, out);
                     return;
                 }
--- a/src/kingcupgrade/coordination/view.rs
+++ b/src/kingcupgrade/coordination/view.rs
@@ -100,7 +100,14 @@
     /// may deliver an old state late, and counted from its arrival that would look fresh.
     pub fn merge(&mut self, message: &RecordMessage) -> bool {
         let RecordMessage::State {
-            index, since, documents, domains, upstreams, orders, whole, ..
+            index,
+            since,
+            documents,
+            domains,
+            upstreams,
+            orders,
+            configuration,
+            ..
         } = message
         else {
             return false;
@@ -120,10 +127,10 @@
         for order in orders {
             changed |= merge_newer(&mut self.orders, &order.upstream, order, |o| o.index);
         }
-        if let Some(whole) = whole
-            && self.whole.as_ref().is_none_or(|known| known.index < whole.index)
+        if let Some(configuration) = configuration
+            && self.whole.as_ref().is_none_or(|known| known.index < configuration.index)
         {
-            self.whole = Some(whole.clone());
+            self.whole = Some(configuration.clone());
             changed = true;
         }
         // Told to the process that had this one's place before, a state leaves out what that one
@@ -166,7 +173,7 @@
             domains: self.domains.values().filter(|s| s.index > have).cloned().collect(),
             upstreams: self.upstreams.values().filter(|s| s.index > have).cloned().collect(),
             orders: self.orders.values().filter(|o| o.index > have).cloned().collect(),
-            whole: self.whole.as_ref().filter(|whole| whole.index > have).cloned(),
+            configuration: self.whole.as_ref().filter(|whole| whole.index > have).cloned(),
         }
     }
 }
--- a/src/kingcupgrade/protocol/dispatch.rs
+++ b/src/kingcupgrade/protocol/dispatch.rs
@@ -221,7 +221,7 @@
         session: SessionTag,
         /// The sequence number of the last report received; 0 for the opening message.
         #[serde(rename = "k")]
-        heard: u64,
+        last_report: u64,
         /// The grants.
         #[serde(rename = "g")]
         grants: Vec<Grant>,
--- a/src/kingcupgrade/protocol/record.rs
+++ b/src/kingcupgrade/protocol/record.rs
@@ -296,7 +296,7 @@
         orders: Vec<UpstreamOrder>,
         /// The complete configuration, if it changed.
         #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
-        whole: Option<StoredConfiguration>,
+        configuration: Option<StoredConfiguration>,
     },
     /// Proposes a command.
     #[serde(rename = "p")]
--- a/src/kingcupgrade/state/record.rs
+++ b/src/kingcupgrade/state/record.rs
@@ -240,7 +240,7 @@
             domains: self.domains.values().filter(|s| s.index > have).cloned().collect(),
             upstreams: self.upstreams.values().filter(|s| s.index > have).cloned().collect(),
             orders: self.orders.values().filter(|o| o.index > have).cloned().collect(),
-            whole: self.whole.as_ref().filter(|whole| whole.index > have).cloned(),
+            configuration: self.whole.as_ref().filter(|whole| whole.index > have).cloned(),
         }
     }
 }
--- a/tests/testsuite/entry.rs
+++ b/tests/testsuite/entry.rs
@@ -40,7 +40,7 @@
         address: "127.0.0.1:1".parse().expect("an address"),
     };
     let session = Session(1, 1).tag();
-    let body = DispatchBody::Grants { session, heard: 0, grants: vec![grant] };
+    let body = DispatchBody::Grants { session, last_report: 0, grants: vec![grant] };
     let message = DispatchMessage { pool, term: 1, origin: None, body };
     entry.on_message(Millis(10), &View::default(), &holder, &message, &mut out);
     assert!(out.iter().any(|output| matches!(output, EntryOutput::Claim(7))));
--- a/tests/testsuite/model_nodes/world.rs
+++ b/tests/testsuite/model_nodes/world.rs
@@ -135,7 +135,7 @@
         domains: Vec::new(),
         upstreams: Vec::new(),
         orders: Vec::new(),
-        whole: None,
+        configuration: None,
     })
 }
 
--- a/tests/testsuite/view.rs
+++ b/tests/testsuite/view.rs
@@ -6,9 +6,12 @@
     protocol::record::{RecordMessage, StoredConfiguration},
 };
 
-fn state(since: u64, index: u64, whole: Option<(u64, u64)>) -> RecordMessage {
-    let whole =
-        whole.map(|(version, index)| StoredConfiguration { version, text: "{}".into(), index });
+fn state(since: u64, index: u64, configuration: Option<(u64, u64)>) -> RecordMessage {
+    let configuration = configuration.map(|(version, index)| StoredConfiguration {
+        version,
+        text: "{}".into(),
+        index,
+    });
     RecordMessage::State {
         index,
         since,
@@ -18,7 +21,7 @@
         domains: Vec::new(),
         upstreams: Vec::new(),
         orders: Vec::new(),
-        whole,
+        configuration,
     }
 }
 
