--- a/crates/kingcup-support/src/traffic.rs
+++ b/crates/kingcup-support/src/traffic.rs
@@ -38,7 +38,11 @@
         max_connections: 100,
         cold_duration: Millis(3_000),
         cold_per_s: 20.0,
-        engine: Some(EngineLimits { slots: ENGINE_SLOTS, kv_capacity: 800_000, stride: 6 }),
+        engine: Some(EngineLimits {
+            slots: ENGINE_SLOTS,
+            kv_capacity: 800_000,
+            tokens_per_event: 6,
+        }),
     };
     let plain = ServiceConfig { name: "plain".into(), engine: None, ..engine.clone() };
     let limits = Limits {
--- a/src/kingcupgrade/core/configuration.rs
+++ b/src/kingcupgrade/core/configuration.rs
@@ -73,7 +73,7 @@
     /// The capacity of its key-value cache, in tokens.
     pub kv_capacity: u64,
     /// The number of tokens in one event.
-    pub stride: u32,
+    pub tokens_per_event: u32,
 }
 
 /// The configuration of one service.
--- a/src/kingcupgrade/transport/gateway/caller/mod.rs
+++ b/src/kingcupgrade/transport/gateway/caller/mod.rs
@@ -113,7 +113,8 @@
         let request_id = decoded.request_id.as_deref().unwrap_or_default();
         let service = choose_service(&route, request_id).clone();
         let plan = configuration.services.get(&service);
-        let stride = plan.and_then(|plan| plan.engine.as_ref()).map_or(1, |engine| engine.stride);
+        let stride =
+            plan.and_then(|plan| plan.engine.as_ref()).map_or(1, |engine| engine.tokens_per_event);
         let arrived = gateway.now();
         let patience = decoded.patience.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
         let mut traffic = gateway.traffic.borrow_mut();
