--- a/src/kingcupgrade/protocol/consensus.rs
+++ b/src/kingcupgrade/protocol/consensus.rs
@@ -207,7 +207,8 @@
     /// Transfers leadership: asks an up-to-date voter to start an election at once.
     #[serde(rename = "y")]
     TakeOver,
-    /// Announces to the members a replica that is not part of a record yet.
+    /// Announces a replica that is not part of a record yet to all control instances. They may add it
+    /// as a member.
     #[serde(rename = "h")]
     Hello,
 }
