--- a/src/kingcupgrade/coordination/listing.rs
+++ b/src/kingcupgrade/coordination/listing.rs
@@ -201,9 +201,9 @@
         }
         let now = self.upstreams.iter();
         let changed = now.filter(|(name, listed)| before.get(*name) != Some(*listed));
-        let gone = before.keys().filter(|name| !self.upstreams.contains_key(*name));
+        let removed = before.keys().filter(|name| !self.upstreams.contains_key(*name));
         let changed = changed.map(|(_, listed)| listed.clone()).collect();
-        self.news(own, base, changed, gone.cloned().collect())
+        self.news(own, base, changed, removed.cloned().collect())
     }
 
     /// Takes in what another entry tells; false if it builds on a list that is not known here.
@@ -214,7 +214,7 @@
         } else if !is_known {
             return false;
         }
-        for name in &news.gone {
+        for name in &news.removed {
             self.upstreams.remove(name);
         }
         self.upstreams.extend(news.changed.into_iter().map(|listed| (listed.name.clone(), listed)));
@@ -238,9 +238,9 @@
         reader: &Instance,
         base: u64,
         changed: Vec<ListedUpstream>,
-        gone: Vec<UpstreamName>,
+        removed: Vec<UpstreamName>,
     ) -> ListingUpdate {
         let reader = reader.clone();
-        ListingUpdate { reader, age: Millis::ZERO, base, number: self.number, changed, gone }
+        ListingUpdate { reader, age: Millis::ZERO, base, number: self.number, changed, removed }
     }
 }
--- a/src/kingcupgrade/protocol/fleet.rs
+++ b/src/kingcupgrade/protocol/fleet.rs
@@ -65,7 +65,7 @@
     pub changed: Vec<ListedUpstream>,
     /// The upstreams that are no longer listed.
     #[serde(rename = "x")]
-    pub gone: Vec<UpstreamName>,
+    pub removed: Vec<UpstreamName>,
 }
 
 /// The load that one entry has put on one upstream.
--- a/tests/testsuite/listing.rs
+++ b/tests/testsuite/listing.rs
@@ -204,12 +204,12 @@
     let first = reader.on_read(own, 1_000, all(&["a", "b", "c"]));
     assert!(hearer.on_news(first));
     let same = reader.on_read(own, 2_000, all(&["a", "b", "c"]));
-    assert!(same.changed.is_empty() && same.gone.is_empty());
+    assert!(same.changed.is_empty() && same.removed.is_empty());
     assert!(hearer.on_news(same));
     let mut read = all(&["a", "d"]);
     read[0].is_ready = false;
     let news = reader.on_read(own, 3_000, read.clone());
-    assert_eq!((news.changed.len(), news.gone.len()), (2, 2));
+    assert_eq!((news.changed.len(), news.removed.len()), (2, 2));
     assert!(hearer.on_news(news));
     assert_eq!(names(&hearer), ["a", "d"]);
     assert_eq!(hearer.upstreams().cloned().collect::<Vec<_>>(), read);
