--- a/tests/testsuite/stalls.rs
+++ b/tests/testsuite/stalls.rs
@@ -5,7 +5,7 @@
 use kingcupgrade::{
     coordination::{
         consensus::{Consensus, ConsensusOutput, ELECTION_MIN},
-        lease::LeaseBook,
+        lease::LeaseManager,
     },
     core::{Instance, Millis},
     protocol::consensus::{ConsensusMessage, Member, ReplicaId},
@@ -121,15 +121,15 @@
 fn a_refused_connection_read_after_a_stall_proves_nothing() {
     let residents: Vec<Instance> = ["a", "b", "c"].map(Instance::from).to_vec();
     let domain = "north".into();
-    let mut book = LeaseBook::new(Millis(0), 1, "a".into(), &domain, residents.clone());
-    let refuse_all = |book: &mut LeaseBook, now| {
+    let mut book = LeaseManager::new(Millis(0), 1, "a".into(), &domain, residents.clone());
+    let refuse_all = |book: &mut LeaseManager, now| {
         residents[1..].iter().for_each(|gone| book.on_dial_failed(Millis(now), gone, true));
     };
     book.tick(Millis(5_000), &mut Vec::new());
     refuse_all(&mut book, 5_010);
-    assert!(!book.may_be_outvoted(Millis(5_020)), "both are gone");
+    assert!(!book.others_may_form_majority(Millis(5_020)), "both are gone");
     refuse_all(&mut book, 15_000);
-    assert!(book.may_be_outvoted(Millis(15_000)), "the word may be ten seconds old");
+    assert!(book.others_may_form_majority(Millis(15_000)), "the word may be ten seconds old");
 }
 
 /// Guards against a leader that goes on for good without a majority since it stands still again and
