--- a/src/kingcupgrade/coordination/dispatcher/counters.rs
+++ b/src/kingcupgrade/coordination/dispatcher/counters.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     core::{FailureDomain, Organisation, OrganisationTag},
-    protocol::dispatch::Served,
+    protocol::dispatch::ServiceReceived,
 };
 
 /// Counter units per unit of cost at a share of 1.
@@ -215,9 +215,9 @@
     ///
     /// Organisations that the document here does not have yet are skipped; they are sent again when
     /// their service changes. Returns whether any total is lower than the known one.
-    pub fn merge_remote(&mut self, domain: &FailureDomain, served: &[Served]) -> bool {
+    pub fn merge_remote(&mut self, domain: &FailureDomain, served: &[ServiceReceived]) -> bool {
         let mut any_lower = false;
-        for Served(tag, total, lift) in served {
+        for ServiceReceived(tag, total, lift) in served {
             let Some(organisation) = self.tags.get(tag).cloned() else { continue };
             let share = self.share_of(&organisation);
             any_lower |= self.update(&organisation, share, |account| {
@@ -232,8 +232,8 @@
     }
 
     /// Merges the service totals of earlier dispatchers of this pool.
-    pub fn merge_own(&mut self, served: &[Served]) {
-        for Served(tag, total, lift) in served {
+    pub fn merge_own(&mut self, served: &[ServiceReceived]) {
+        for ServiceReceived(tag, total, lift) in served {
             let Some(organisation) = self.tags.get(tag).cloned() else { continue };
             let share = self.share_of(&organisation);
             self.update(&organisation, share, |account| {
@@ -244,10 +244,10 @@
     }
 
     /// Returns the known service totals of another failure domain.
-    pub fn remote(&self, domain: &FailureDomain) -> Vec<Served> {
+    pub fn remote(&self, domain: &FailureDomain) -> Vec<ServiceReceived> {
         let known = |(organisation, account): (&Organisation, &Account)| {
             let total = account.remote.get(domain)?;
-            Some(Served(organisation.tag(), *total, account.lift))
+            Some(ServiceReceived(organisation.tag(), *total, account.lift))
         };
         self.accounts.iter().filter_map(known).collect()
     }
@@ -256,7 +256,7 @@
     ///
     /// Organisations without a backlog are included only if `all` is set, since their counters are
     /// not compared with others before they have one.
-    pub fn take_changed(&mut self, max: usize, all: bool) -> Vec<Served> {
+    pub fn take_changed(&mut self, max: usize, all: bool) -> Vec<ServiceReceived> {
         let accounts = &self.accounts;
         let is_included = |o: &&Organisation| all || accounts[*o].waiting > 0;
         let included = self.changed.iter().filter(is_included).take(max);
@@ -264,7 +264,7 @@
         let take = |organisation: Organisation| {
             self.changed.remove(&organisation);
             let account = &accounts[&organisation];
-            Served(organisation.tag(), account.served, account.lift)
+            ServiceReceived(organisation.tag(), account.served, account.lift)
         };
         included.into_iter().map(take).collect()
     }
--- a/src/kingcupgrade/coordination/fleet/discovery.rs
+++ b/src/kingcupgrade/coordination/fleet/discovery.rs
@@ -9,7 +9,7 @@
     core::{Instance, Millis},
     protocol::{
         Message,
-        fleet::{FleetMessage, Resident},
+        fleet::{FleetEntry, FleetMessage},
     },
 };
 
@@ -74,7 +74,7 @@
         controls.dedup();
         let update = self.roster.next_update(unix_ms, controls);
         let answer = match update.number == known {
-            true => FleetMessage::SameRoster(known),
+            true => FleetMessage::RosterUnchanged(known),
             false => {
                 let RosterUpdate { number, entries, controls } = update.clone();
                 FleetMessage::Roster { number, entries, controls }
@@ -97,7 +97,7 @@
     }
 
     pub(super) fn neighbours(&self) -> Vec<Instance> {
-        let entries = self.roster.entries().into_iter().map(|Resident(entry, _)| entry);
+        let entries = self.roster.entries().into_iter().map(|FleetEntry(entry, _)| entry);
         entries.filter(|entry| *entry != self.instance).collect()
     }
 }
--- a/src/kingcupgrade/coordination/fleet/io.rs
+++ b/src/kingcupgrade/coordination/fleet/io.rs
@@ -7,7 +7,7 @@
     core::{Instance, Millis, code::CodedError},
     protocol::{
         Message,
-        fleet::{ListingNews, LoadReport, Resident},
+        fleet::{FleetEntry, ListingUpdate, LoadReport},
         record::{Command, Reply},
     },
     state::log::Persist,
@@ -28,12 +28,12 @@
     ShareLoad(LoadReport),
     /// This entry read the platform's list of upstreams; the change is to be sent to the entries
     /// that its duty covers.
-    ShareListing(ListingNews, ListingDuty),
+    ShareListing(ListingUpdate, ListingDuty),
     /// The platform's list of upstreams, or the one that a change builds on, is not known here and
     /// is to be requested: from the given instance, or from the entries that may know it.
     RequestListing(Option<Instance>),
     /// The platform's list of upstreams is to be sent to an entry that requested it.
-    SendListing(Instance, ListingNews),
+    SendListing(Instance, ListingUpdate),
     /// Writing to the disk failed.
     StorageFailed(CodedError),
     /// The disk works again; the replica was opened anew from it.
@@ -60,11 +60,11 @@
     /// The configuration or the state of a failure domain changed.
     ViewChanged,
     /// The entries or control instances of the fleet changed; these are the entries.
-    Entries(Vec<Resident>),
+    Entries(Vec<FleetEntry>),
     /// Another entry's load report arrived.
     LoadReceived(Instance, LoadReport),
     /// A change of the platform's list of upstreams, or the whole list, arrived from another entry.
-    ListingReceived(Instance, ListingNews),
+    ListingReceived(Instance, ListingUpdate),
     /// Another entry requested the platform's list of upstreams.
     ListingRequested(Instance),
     /// The control instance that is asked for the configuration changed, or whether the
--- a/src/kingcupgrade/coordination/fleet/load_exchange.rs
+++ b/src/kingcupgrade/coordination/fleet/load_exchange.rs
@@ -15,7 +15,7 @@
     core::{FailureDomain, Instance, Millis, Organisation, UpstreamName},
     protocol::{
         Message,
-        fleet::{FleetMessage, KeptParts, Load, LoadReport, Resident, Total},
+        fleet::{CachedParts, FleetEntry, FleetLoad, FleetMessage, Load, LoadReport},
     },
     util::rendezvous,
 };
@@ -82,15 +82,15 @@
 }
 
 impl Topology {
-    fn new(own: &Instance, own_domain: &FailureDomain, residents: &[Resident]) -> Topology {
-        let others = residents.iter().filter(|Resident(entry, _)| entry != own);
+    fn new(own: &Instance, own_domain: &FailureDomain, residents: &[FleetEntry]) -> Topology {
+        let others = residents.iter().filter(|FleetEntry(entry, _)| entry != own);
         if residents.len() <= MAX_MESH_ENTRIES {
-            let receivers = others.map(|Resident(entry, _)| entry.clone()).collect();
+            let receivers = others.map(|FleetEntry(entry, _)| entry.clone()).collect();
             return Topology { entries: residents.len(), receivers, ..Topology::default() };
         }
         let mut domains: BTreeMap<&FailureDomain, Vec<Instance>> = BTreeMap::new();
         domains.entry(own_domain).or_default().push(own.clone());
-        for Resident(entry, domain) in others {
+        for FleetEntry(entry, domain) in others {
             domains.entry(domain).or_default().push(entry.clone());
         }
         let collectors = |entries: &[Instance]| {
@@ -135,9 +135,9 @@
     /// The sums of the other failure domains.
     domains: BTreeMap<FailureDomain, (Millis, LoadReport)>,
     /// Cached prompt parts that entries of this failure domain announced, not passed on yet.
-    local_cached_parts: Vec<KeptParts>,
+    local_cached_parts: Vec<CachedParts>,
     /// The same that collectors of other failure domains announced.
-    remote_cached_parts: Vec<KeptParts>,
+    remote_cached_parts: Vec<CachedParts>,
 }
 
 impl LoadExchange {
@@ -146,7 +146,7 @@
         &mut self,
         own: &Instance,
         domain: &FailureDomain,
-        residents: &[Resident],
+        residents: &[FleetEntry],
     ) {
         self.topology = Topology::new(own, domain, residents);
     }
@@ -202,7 +202,7 @@
         }
         let local_parts = std::mem::take(&mut self.local_cached_parts);
         let domain_sum = LoadReport { kept: local_parts.clone(), ..sum.to_report() };
-        let message = FleetMessage::DomainSum(domain.clone(), domain_sum);
+        let message = FleetMessage::DomainLoad(domain.clone(), domain_sum);
         out.push(LoadExchangeOutput::SendToAll(
             self.topology.remote_collectors.clone(),
             Message::Fleet(message),
@@ -212,7 +212,7 @@
         }
         let mut kept = std::mem::take(&mut self.remote_cached_parts);
         kept.extend(local_parts);
-        let total = Total { report: LoadReport { kept, ..sum.to_report() }, parts };
+        let total = FleetLoad { report: LoadReport { kept, ..sum.to_report() }, parts };
         out.extend(self.on_total(own, &total));
         out.push(LoadExchangeOutput::SendToAll(
             members,
@@ -251,7 +251,7 @@
     }
 
     /// Handles the total of the fleet, and subtracts this entry's report from it.
-    pub(super) fn on_total(&self, own: &Instance, total: &Total) -> Option<LoadExchangeOutput> {
+    pub(super) fn on_total(&self, own: &Instance, total: &FleetLoad) -> Option<LoadExchangeOutput> {
         let mut sum = Sum::default();
         sum.add(&total.report, 1);
         let number = total.parts.iter().find(|(entry, _)| entry == own).map(|(_, number)| *number);
@@ -266,7 +266,7 @@
 
 /// Adds announcements of cached parts, once where both collectors of a failure domain send the
 /// same.
-fn add_announcements(known: &mut Vec<KeptParts>, announced: &mut Vec<KeptParts>) {
+fn add_announcements(known: &mut Vec<CachedParts>, announced: &mut Vec<CachedParts>) {
     let announced = std::mem::take(announced).into_iter();
     for parts in announced {
         if !known.contains(&parts) {
--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -34,7 +34,7 @@
 use crate::{
     core::{
         Instance, Millis,
-        fleet::{FleetSettings, role_of},
+        fleet::{FleetSettings, instance_role},
         settings::Role,
     },
     protocol::{
@@ -259,12 +259,12 @@
                 self.roster.on_update(now, from, RosterUpdate { number, entries, controls });
                 self.publish_entries(out);
             }
-            FleetMessage::SameRoster(number) => self.roster.on_unchanged(now, from, number),
+            FleetMessage::RosterUnchanged(number) => self.roster.on_unchanged(now, from, number),
             FleetMessage::Load(report) => {
                 self.roster.on_message_from(now, from);
                 out.extend(self.load_exchange.on_load(now, from, report).map(FleetOutput::from));
             }
-            FleetMessage::DomainSum(domain, sum) => {
+            FleetMessage::DomainLoad(domain, sum) => {
                 self.load_exchange.on_domain_sum(now, domain, sum)
             }
             FleetMessage::Total(total) => {
@@ -275,7 +275,7 @@
             FleetMessage::Listing(news) => {
                 out.push(FleetOutput::ListingReceived(from.clone(), news))
             }
-            FleetMessage::ListingWanted => out.push(FleetOutput::ListingRequested(from.clone())),
+            FleetMessage::ListingRequest => out.push(FleetOutput::ListingRequested(from.clone())),
         }
     }
 
@@ -298,7 +298,7 @@
                 });
             }
             RecordMessage::State { asked, .. } => {
-                if asked.is_some() && role_of(from) == Some(Role::Control) {
+                if asked.is_some() && instance_role(from) == Some(Role::Control) {
                     self.client.on_state(now, from, message.confirmed());
                 }
                 if self.view.merge(&message) {
--- a/src/kingcupgrade/coordination/fleet/roster.rs
+++ b/src/kingcupgrade/coordination/fleet/roster.rs
@@ -11,8 +11,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{
-    core::{FailureDomain, Instance, Millis, fleet::role_of, settings::Role},
-    protocol::fleet::Resident,
+    core::{FailureDomain, Instance, Millis, fleet::instance_role, settings::Role},
+    protocol::fleet::FleetEntry,
 };
 
 /// An entry that was not heard from for this long is dropped: several announcements in a row were
@@ -30,7 +30,7 @@
     /// Its number among the rosters of the control instance; 0 if there is none.
     pub number: u64,
     /// The entries that the control instance recently heard from.
-    pub entries: Vec<Resident>,
+    pub entries: Vec<FleetEntry>,
     /// The control instances that the control instance knows.
     pub controls: Vec<Instance>,
 }
@@ -89,7 +89,7 @@
         instance: &Instance,
         announcement: &Announcement,
     ) -> Option<u32> {
-        match role_of(instance) {
+        match instance_role(instance) {
             Some(Role::Control) => {
                 self.controls.insert(instance.clone(), now);
             }
@@ -151,7 +151,7 @@
     }
 
     fn apply(&mut self, now: Millis, update: &RosterUpdate) {
-        for Resident(instance, domain) in &update.entries {
+        for FleetEntry(instance, domain) in &update.entries {
             self.entries.insert(instance.clone(), (domain.clone(), now));
         }
         for control in &update.controls {
@@ -189,8 +189,8 @@
     }
 
     /// Returns the entries.
-    pub fn entries(&self) -> Vec<Resident> {
-        self.entries.iter().map(|(i, (domain, _))| Resident(i.clone(), domain.clone())).collect()
+    pub fn entries(&self) -> Vec<FleetEntry> {
+        self.entries.iter().map(|(i, (domain, _))| FleetEntry(i.clone(), domain.clone())).collect()
     }
 
     /// Returns the control instances, including those that the settings name.
--- a/src/kingcupgrade/coordination/listing.rs
+++ b/src/kingcupgrade/coordination/listing.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     core::{Instance, Millis, UpstreamName},
-    protocol::fleet::{ListedUpstream, ListingNews},
+    protocol::fleet::{ListedUpstream, ListingUpdate},
     util::rendezvous,
 };
 
@@ -197,7 +197,7 @@
         own: &Instance,
         unix_ms: u64,
         upstreams: Vec<ListedUpstream>,
-    ) -> ListingNews {
+    ) -> ListingUpdate {
         let read = upstreams.into_iter().map(|listed| (listed.name.clone(), listed)).collect();
         let before = std::mem::replace(&mut self.upstreams, read);
         let base = if self.reader.as_ref() == Some(own) { self.number } else { 0 };
@@ -210,21 +210,21 @@
         }
         let now = self.upstreams.iter();
         let changed = now.filter(|(name, listed)| before.get(*name) != Some(*listed));
-        let gone = before.keys().filter(|name| !self.upstreams.contains_key(*name));
+        let removed = before.keys().filter(|name| !self.upstreams.contains_key(*name));
         let changed = changed.map(|(_, listed)| listed.clone()).collect();
-        self.change(own, base, changed, gone.cloned().collect())
+        self.change(own, base, changed, removed.cloned().collect())
     }
 
     /// Applies a change from another entry; returns false if it builds on a list that is not known
     /// here.
-    pub fn on_change(&mut self, news: ListingNews) -> bool {
+    pub fn on_change(&mut self, news: ListingUpdate) -> bool {
         let is_known = self.reader.as_ref() == Some(&news.reader) && self.number == news.base;
         if news.base == 0 {
             self.upstreams.clear();
         } else if !is_known {
             return false;
         }
-        for name in &news.gone {
+        for name in &news.removed {
             self.upstreams.remove(name);
         }
         self.upstreams.extend(news.changed.into_iter().map(|listed| (listed.name.clone(), listed)));
@@ -234,11 +234,11 @@
     }
 
     /// Returns the whole list, for an entry that knows none; `None` if none is known here either.
-    pub fn full_list(&self) -> Option<ListingNews> {
+    pub fn full_list(&self) -> Option<ListingUpdate> {
         self.reader.as_ref().map(|reader| self.full_list_from(reader))
     }
 
-    fn full_list_from(&self, reader: &Instance) -> ListingNews {
+    fn full_list_from(&self, reader: &Instance) -> ListingUpdate {
         self.change(reader, 0, self.upstreams.values().cloned().collect(), Vec::new())
     }
 
@@ -247,9 +247,9 @@
         reader: &Instance,
         base: u64,
         changed: Vec<ListedUpstream>,
-        gone: Vec<UpstreamName>,
-    ) -> ListingNews {
+        removed: Vec<UpstreamName>,
+    ) -> ListingUpdate {
         let reader = reader.clone();
-        ListingNews { reader, age: Millis::ZERO, base, number: self.number, changed, gone }
+        ListingUpdate { reader, age: Millis::ZERO, base, number: self.number, changed, removed }
     }
 }
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -302,7 +302,7 @@
         let Some(leases) = &self.leases else { return whole };
         // A dispatcher on the other side of a cut keeps back no more.
         let own =
-            if leases.others_may_form_majority(now) { whole.static_part() } else { whole.cold };
+            if leases.others_may_form_majority(now) { whole.static_slots() } else { whole.cold };
         SlotLimits { cold: own, warm: own }
     }
 
--- a/src/kingcupgrade/coordination/traffic/mod.rs
+++ b/src/kingcupgrade/coordination/traffic/mod.rs
@@ -43,10 +43,10 @@
     coordination::fleet::report_age,
     core::{
         FailureDomain, Instance, Millis, Organisation, Service, UpstreamName,
-        configuration::{Configuration, ServicePlan},
+        configuration::{Configuration, ServiceConfig},
         fleet::FleetSettings,
     },
-    protocol::fleet::{KeptParts, ListedUpstream, LoadReport},
+    protocol::fleet::{CachedParts, ListedUpstream, LoadReport},
 };
 
 /// The fraction of this entry's share of a connection limit that is used: connections that are
@@ -163,11 +163,11 @@
     }
 
     /// Returns the requests per second that this entry may send to a cold upstream.
-    fn cold_rate(&self, plan: &ServicePlan, upstream: &UpstreamName) -> f64 {
+    fn cold_rate(&self, plan: &ServiceConfig, upstream: &UpstreamName) -> f64 {
         cold_rate_share(plan.cold_per_s, upstream, &self.settings.instance(), &self.entries)
     }
 
-    fn plan(&self, service: &Service) -> Option<ServicePlan> {
+    fn plan(&self, service: &Service) -> Option<ServiceConfig> {
         self.configuration.as_ref()?.services.get(service).cloned()
     }
 
@@ -202,7 +202,7 @@
 
     /// Applies another entry's load report.
     pub fn on_report(&mut self, now: Millis, from: Instance, mut report: LoadReport) {
-        for KeptParts(name, parts) in std::mem::take(&mut report.kept) {
+        for CachedParts(name, parts) in std::mem::take(&mut report.kept) {
             if let Some(upstream) = self.upstreams.get_mut(&name) {
                 upstream.on_announced_parts(now, &parts);
             }
@@ -220,7 +220,7 @@
     /// announced yet.
     pub fn take_report(&mut self, now: Millis) -> LoadReport {
         let announcements = std::mem::take(&mut self.unannounced_parts).into_iter();
-        let kept = announcements.map(|(name, parts)| KeptParts(name, parts)).collect();
+        let kept = announcements.map(|(name, parts)| CachedParts(name, parts)).collect();
         LoadReport { kept, ..self.report(now) }
     }
 
--- a/src/kingcupgrade/coordination/traffic/upstream.rs
+++ b/src/kingcupgrade/coordination/traffic/upstream.rs
@@ -86,8 +86,8 @@
     /// Applies a newer listing. If the upstream has restarted since, its cache, health and reported
     /// load are reset.
     pub fn relist(&mut self, now: Millis, listed: ListedUpstream) {
-        let has_restarted =
-            listed.born != self.listed.born || listed.address != self.listed.address;
+        let has_restarted = listed.started_unix_ms != self.listed.started_unix_ms
+            || listed.address != self.listed.address;
         if has_restarted {
             self.cached.clear();
             self.health = Health::default();
--- a/src/kingcupgrade/coordination/view.rs
+++ b/src/kingcupgrade/coordination/view.rs
@@ -12,7 +12,7 @@
     core::{Document, FailureDomain, Millis, Service, UpstreamName},
     protocol::{
         order::UpstreamOrder,
-        record::{RecordMessage, Standing, StoredConfiguration, StoredDocument},
+        record::{Availability, RecordMessage, StoredConfiguration, StoredDocument},
     },
 };
 
@@ -36,8 +36,8 @@
 pub struct View {
     index: u64,
     documents: BTreeMap<Service, InForce>,
-    domains: BTreeMap<FailureDomain, Standing<FailureDomain>>,
-    upstreams: BTreeMap<UpstreamName, Standing<UpstreamName>>,
+    domains: BTreeMap<FailureDomain, Availability<FailureDomain>>,
+    upstreams: BTreeMap<UpstreamName, Availability<UpstreamName>>,
     orders: BTreeMap<UpstreamName, UpstreamOrder>,
     whole: Option<StoredConfiguration>,
     confirmed: Option<Millis>,
@@ -56,7 +56,7 @@
 
     /// Returns whether a failure domain is out of service.
     pub fn is_out(&self, domain: &FailureDomain) -> bool {
-        self.domains.get(domain).is_some_and(|standing| standing.out)
+        self.domains.get(domain).is_some_and(|availability| availability.out)
     }
 
     /// Returns the complete configuration in force, as its operator sent it.
@@ -65,7 +65,7 @@
     }
 
     /// Returns the states of failure domains.
-    pub fn domains(&self) -> impl Iterator<Item = &Standing<FailureDomain>> {
+    pub fn domains(&self) -> impl Iterator<Item = &Availability<FailureDomain>> {
         self.domains.values()
     }
 
@@ -76,7 +76,7 @@
 
     /// Returns whether an operator has set an upstream to leave.
     pub fn is_leaving(&self, upstream: &UpstreamName) -> bool {
-        self.upstreams.get(upstream).is_some_and(|standing| standing.out)
+        self.upstreams.get(upstream).is_some_and(|availability| availability.out)
     }
 
     /// Returns the latest order for each upstream that has one, also if it was withdrawn.
@@ -102,7 +102,14 @@
     /// would look fresh.
     pub fn merge(&mut self, message: &RecordMessage) -> bool {
         let RecordMessage::State {
-            index, since, documents, domains, upstreams, orders, whole, ..
+            index,
+            since,
+            documents,
+            domains,
+            upstreams,
+            orders,
+            configuration,
+            ..
         } = message
         else {
             return false;
@@ -111,19 +118,21 @@
         for stored in documents {
             changed |= self.merge_document(stored);
         }
-        for standing in domains {
-            changed |= merge_newer(&mut self.domains, &standing.name, standing, |s| s.index);
+        for availability in domains {
+            changed |=
+                merge_newer(&mut self.domains, &availability.name, availability, |s| s.index);
         }
-        for standing in upstreams {
-            changed |= merge_newer(&mut self.upstreams, &standing.name, standing, |s| s.index);
+        for availability in upstreams {
+            changed |=
+                merge_newer(&mut self.upstreams, &availability.name, availability, |s| s.index);
         }
         for order in orders {
             changed |= merge_newer(&mut self.orders, &order.upstream, order, |o| o.index);
         }
-        if let Some(whole) = whole
-            && self.whole.as_ref().is_none_or(|known| known.index < whole.index)
+        if let Some(configuration) = configuration
+            && self.whole.as_ref().is_none_or(|known| known.index < configuration.index)
         {
-            self.whole = Some(whole.clone());
+            self.whole = Some(configuration.clone());
             changed = true;
         }
         // A state that answers an earlier process of this instance leaves out what that process
@@ -167,7 +176,7 @@
             domains: self.domains.values().filter(|s| s.index > have).cloned().collect(),
             upstreams: self.upstreams.values().filter(|s| s.index > have).cloned().collect(),
             orders: self.orders.values().filter(|o| o.index > have).cloned().collect(),
-            whole: self.whole.as_ref().filter(|whole| whole.index > have).cloned(),
+            configuration: self.whole.as_ref().filter(|whole| whole.index > have).cloned(),
         }
     }
 }
