--- a/src/kingcupgrade/coordination/fleet/discovery.rs
+++ b/src/kingcupgrade/coordination/fleet/discovery.rs
@@ -91,8 +91,12 @@
         self.published_digest = digest;
         let controls = self.roster.controls();
         self.client.set_instances(controls, self.neighbours());
-        let residents = self.roster.entries();
-        self.load_exchange.set_residents(&self.instance, &self.settings.failure_domain, &residents);
+        let fleet_entries = self.roster.entries();
+        self.load_exchange.set_entries(
+            &self.instance,
+            &self.settings.failure_domain,
+            &fleet_entries,
+        );
         out.push(FleetOutput::Entries(self.roster.entries()));
     }
 
--- a/src/kingcupgrade/coordination/fleet/listing.rs
+++ b/src/kingcupgrade/coordination/fleet/listing.rs
@@ -14,7 +14,7 @@
     /// Sends a change of the list to the entries that this entry reads it for.
     pub(super) fn share_listing(
         &mut self,
-        news: ListingUpdate,
+        update: ListingUpdate,
         duty: ListingDuty,
         out: &mut Vec<FleetOutput>,
     ) {
@@ -23,7 +23,7 @@
             ListingDuty::StandsIn | ListingDuty::StandsInSecond => self.domain_neighbours(),
             ListingDuty::Hears => return,
         };
-        out.push(FleetOutput::SendToAll(receivers, Message::Fleet(FleetMessage::Listing(news))));
+        out.push(FleetOutput::SendToAll(receivers, Message::Fleet(FleetMessage::Listing(update))));
     }
 
     /// Requests the whole list from one entry, or from all that may know it.
--- a/src/kingcupgrade/coordination/fleet/load_exchange.rs
+++ b/src/kingcupgrade/coordination/fleet/load_exchange.rs
@@ -82,11 +82,11 @@
 }
 
 impl Topology {
-    fn new(own: &Instance, own_domain: &FailureDomain, residents: &[FleetEntry]) -> Topology {
-        let others = residents.iter().filter(|FleetEntry(entry, _)| entry != own);
-        if residents.len() <= MAX_MESH_ENTRIES {
+    fn new(own: &Instance, own_domain: &FailureDomain, fleet_entries: &[FleetEntry]) -> Topology {
+        let others = fleet_entries.iter().filter(|FleetEntry(entry, _)| entry != own);
+        if fleet_entries.len() <= MAX_MESH_ENTRIES {
             let receivers = others.map(|FleetEntry(entry, _)| entry.clone()).collect();
-            return Topology { entries: residents.len(), receivers, ..Topology::default() };
+            return Topology { entries: fleet_entries.len(), receivers, ..Topology::default() };
         }
         let mut domains: BTreeMap<&FailureDomain, Vec<Instance>> = BTreeMap::new();
         domains.entry(own_domain).or_default().push(own.clone());
@@ -103,7 +103,7 @@
         let members: Vec<Instance> =
             local_entries.into_iter().filter(|entry| entry != own).collect();
         Topology {
-            entries: residents.len(),
+            entries: fleet_entries.len(),
             members: local_collectors.contains(own).then_some(members),
             receivers: local_collectors.into_iter().filter(|entry| entry != own).collect(),
             remote_collectors: domains.values().flat_map(|entries| collectors(entries)).collect(),
@@ -142,13 +142,13 @@
 
 impl LoadExchange {
     /// Updates the topology from the entries of the fleet.
-    pub(super) fn set_residents(
+    pub(super) fn set_entries(
         &mut self,
         own: &Instance,
         domain: &FailureDomain,
-        residents: &[FleetEntry],
+        fleet_entries: &[FleetEntry],
     ) {
-        self.topology = Topology::new(own, domain, residents);
+        self.topology = Topology::new(own, domain, fleet_entries);
     }
 
     /// Sends this entry's report, and the sums if it is a collector.
--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -135,10 +135,10 @@
                 self.awaited.insert(id, ticket);
             }
             FleetInput::ShareLoad(report) => self.share(now, report, out),
-            FleetInput::ShareListing(news, duty) => self.share_listing(news, duty, out),
+            FleetInput::ShareListing(update, duty) => self.share_listing(update, duty, out),
             FleetInput::RequestListing(from) => self.request_listing(from, out),
-            FleetInput::SendListing(to, news) => {
-                out.push(FleetOutput::Send(to, Message::Fleet(FleetMessage::Listing(news))));
+            FleetInput::SendListing(to, update) => {
+                out.push(FleetOutput::Send(to, Message::Fleet(FleetMessage::Listing(update))));
             }
             FleetInput::StorageFailed(err) => {
                 if let Some(control) = &mut self.control {
@@ -272,8 +272,8 @@
                     self.load_exchange.on_total(&self.instance, &total).map(FleetOutput::from),
                 );
             }
-            FleetMessage::Listing(news) => {
-                out.push(FleetOutput::ListingReceived(from.clone(), news))
+            FleetMessage::Listing(update) => {
+                out.push(FleetOutput::ListingReceived(from.clone(), update))
             }
             FleetMessage::ListingRequest => out.push(FleetOutput::ListingRequested(from.clone())),
         }
--- a/src/kingcupgrade/coordination/listing.rs
+++ b/src/kingcupgrade/coordination/listing.rs
@@ -217,19 +217,20 @@
 
     /// Applies a change from another entry; returns false if it builds on a list that is not known
     /// here.
-    pub fn on_change(&mut self, news: ListingUpdate) -> bool {
-        let is_known = self.reader.as_ref() == Some(&news.reader) && self.number == news.base;
-        if news.base == 0 {
+    pub fn on_change(&mut self, update: ListingUpdate) -> bool {
+        let is_known = self.reader.as_ref() == Some(&update.reader) && self.number == update.base;
+        if update.base == 0 {
             self.upstreams.clear();
         } else if !is_known {
             return false;
         }
-        for name in &news.removed {
+        for name in &update.removed {
             self.upstreams.remove(name);
         }
-        self.upstreams.extend(news.changed.into_iter().map(|listed| (listed.name.clone(), listed)));
-        self.reader = Some(news.reader);
-        self.number = news.number;
+        self.upstreams
+            .extend(update.changed.into_iter().map(|listed| (listed.name.clone(), listed)));
+        self.reader = Some(update.reader);
+        self.number = update.number;
         true
     }
 
