--- a/src/kingcupgrade/core/document.rs
+++ b/src/kingcupgrade/core/document.rs
@@ -198,7 +198,7 @@
 
     fn check(&self) -> Result<(), String> {
         if !is_valid_name(self.service.as_str()) {
-            return Err(format!("service: {:?} is not a valid name", self.service.as_str()));
+            return Err(format!("service: {:?} is no valid name", self.service.as_str()));
         }
         if self.organisations.is_empty() {
             return Err("organisations: expected at least one".to_owned());
@@ -226,11 +226,11 @@
                 // Tags are 32-bit checksums of names, so one pair of names in 2^32 collides.
                 // Service received by one organisation would then be counted for the other.
                 return Err(format!(
-                    "organisations: {other} and {name} have the same tag; rename one of them"
+                    "organisations: {other} and {name} can't be told apart by tag"
                 ));
             }
             if !is_valid_name(name.as_str()) {
-                return Err(format!("organisations: {:?} is not a valid name", name.as_str()));
+                return Err(format!("organisations: {:?} is no valid name", name.as_str()));
             }
             if !(1..=MAX_SHARE).contains(&config.share) {
                 return Err(format!("organisations.{name}.share: expected 1 to {MAX_SHARE}"));
@@ -244,7 +244,7 @@
                 }
                 if !digests.insert(digest) {
                     return Err(format!(
-                        "organisations.{name}.token_digests: a digest is listed more than once"
+                        "organisations.{name}.token_digests: a digest stands twice"
                     ));
                 }
             }
@@ -257,12 +257,12 @@
             let has_inner_star = pattern.path.trim_end_matches('*').contains('*');
             if !pattern.path.starts_with('/') || has_inner_star || pattern.path.ends_with("**") {
                 return Err(format!(
-                    "never_repeat[{i}].path: expected /path, with * only as the last character"
+                    "never_repeat[{i}].path: expected /path, with * at its end at most"
                 ));
             }
             if pattern.method.is_empty() || !pattern.method.bytes().all(|b| b.is_ascii_uppercase())
             {
-                return Err(format!("never_repeat[{i}].method: expected a method in upper case"));
+                return Err(format!("never_repeat[{i}].method: expected a method in capitals"));
             }
             if let Some(j) = self.never_repeat[..i].iter().position(|other| other.overlaps(pattern))
             {
@@ -296,9 +296,7 @@
                 access.next_entry::<Organisation, OrganisationConfig>()?
             {
                 if organisations.contains_key(&name) {
-                    return Err(de::Error::custom(format!(
-                        "organisation {name} is listed more than once"
-                    )));
+                    return Err(de::Error::custom(format!("organisation {name} stands twice")));
                 }
                 organisations.insert(name, config);
             }
