--- a/src/kingcupgrade/transport/gateway/edge.rs
+++ b/src/kingcupgrade/transport/gateway/edge.rs
@@ -1,7 +1,7 @@
-//! The border between the product and the platform it runs on.
+//! The interface between the product and the platform that it runs on.
 //!
-//! What a request, an answer or a list looks like on the wire is the platform's; what follows from
-//! it is decided here. An [`Edge`] translates and decides nothing.
+//! The platform defines the wire format of requests, responses and lists. An [`Edge`] only
+//! translates between that format and the product's types; all decisions are made in this crate.
 
 use http::{HeaderMap, Method, request, response};
 
@@ -14,92 +14,92 @@
     protocol::fleet::ListedUpstream,
 };
 
-/// A caller's request head, decoded.
+/// The decoded head of a caller's request.
 #[derive(Clone, Debug, Default)]
 pub struct CallerHead {
-    /// Names the request; its answer repeats it.
+    /// The request's id, which the response repeats.
     pub request_id: Option<String>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// The caller's time-out for the request.
     pub patience: Option<Millis>,
     /// The parts of the prompt.
     pub prompt: Vec<PromptPart>,
-    /// The most tokens that are generated.
+    /// The maximum number of tokens to generate; 0 if not stated.
     pub max_output: u32,
-    /// The caller's guess of the tokens that are generated.
+    /// The caller's estimate of the number of tokens to be generated.
     pub output_hint: Option<u32>,
 }
 
-/// What a request that is sent on says beside what its caller said.
+/// What the product adds to a request that it forwards to an upstream.
 #[derive(Clone, Debug)]
 pub struct Mark<'a> {
-    /// The upstream it is meant for; another one at the address must refuse it.
+    /// The intended upstream; another one listening on the same address must refuse the request.
     pub upstream: &'a UpstreamName,
-    /// The organisation it is for.
+    /// The organisation on whose behalf the request is made.
     pub organisation: Option<&'a Organisation>,
-    /// The time left.
+    /// The time left until the request's deadline.
     pub patience: Millis,
-    /// The event after which the answer is to go on.
+    /// The id of the event after which the stream is to be resumed.
     pub last_event: Option<u64>,
 }
 
-/// An answer's head, decoded.
+/// The decoded head of an upstream's response.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerHead {
-    /// The request it answers.
+    /// The id of the request that the response belongs to.
     pub request_id: Option<String>,
-    /// Whether the upstream vouches for it.
+    /// Whether the response carries the upstream's seal.
     pub is_sealed: bool,
-    /// Whether the upstream says that it did not run the request.
+    /// Whether the upstream states that it did not run the request.
     pub is_not_run: bool,
-    /// Whether another upstream than the one meant answered.
+    /// Whether an upstream other than the intended one has answered.
     pub is_elsewhere: bool,
-    /// Running and waiting requests at the upstream.
+    /// The numbers of running and of waiting requests at the upstream.
     pub load: Option<(u32, u32)>,
 }
 
 /// A page of the platform's list of upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct ListingPage {
-    /// The upstreams that could be read.
+    /// The upstreams whose list entries could be decoded.
     pub upstreams: Vec<ListedUpstream>,
-    /// Entries that could not be read.
+    /// The number of list entries that could not be decoded.
     pub unreadable: usize,
-    /// What names the next page.
+    /// The token of the next page, if there is one.
     pub next: Option<String>,
 }
 
-/// What an operator asks.
+/// A call of the operators' interface.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
-    /// Replace the whole configuration.
+    /// Replace the complete configuration.
     Replace,
-    /// Read the whole configuration.
+    /// Read the complete configuration.
     Read,
-    /// Take a failure domain out of service, or back in.
+    /// Take a failure domain out of service, or put it back.
     SetDomain {
         /// The failure domain.
         domain: FailureDomain,
-        /// Whether it is out.
+        /// Whether it is to be out of service.
         out: bool,
     },
 }
 
-/// Translates between the platform's wire and the product's types.
+/// Translates between the platform's wire formats and the product's types.
 pub trait Edge: Send + Sync + 'static {
     /// Reads the settings again.
     ///
     /// # Errors
     ///
-    /// Returns an error with the place of what can't be read.
+    /// Returns an error that names the file, and the part of it that is invalid.
     fn read_settings(&self) -> anyhow::Result<FleetSettings>;
 
-    /// Decodes a whole configuration.
+    /// Decodes a complete configuration.
     ///
     /// # Errors
     ///
-    /// Returns a numbered error with place and reason.
+    /// Returns a coded error that states which part is invalid and why.
     fn decode_configuration(&self, text: &[u8]) -> Result<Configuration, CodedError>;
 
     /// Returns the path of a page of the list of upstreams.
@@ -109,25 +109,25 @@
     ///
     /// # Errors
     ///
-    /// Returns a numbered error if nothing of it can be read.
+    /// Returns a coded error if the page as a whole can't be decoded.
     fn decode_listing(&self, body: &[u8]) -> Result<ListingPage, CodedError>;
 
-    /// Decodes a caller's request head.
+    /// Decodes the head of a caller's request.
     fn read_caller(&self, head: &request::Parts) -> CallerHead;
 
-    /// Prepares the headers of a request for an upstream: drops what only the product may say and
-    /// adds what it says.
+    /// Prepares the headers of a request for an upstream: removes those that are reserved for the
+    /// product and sets its own.
     fn mark_request(&self, headers: &mut HeaderMap, mark: &Mark<'_>);
 
-    /// Decodes an answer's head.
+    /// Decodes the head of an upstream's response.
     fn read_answer(&self, head: &response::Parts) -> AnswerHead;
 
-    /// Adds to an answer of the product's own what names the request.
+    /// Adds the request's id to the headers of a response that the product generates itself.
     fn mark_refusal(&self, headers: &mut HeaderMap, request_id: &str);
 
-    /// Tells whether a path asks for readiness.
+    /// Returns whether a path is that of the readiness probe.
     fn is_ready_path(&self, path: &str) -> bool;
 
-    /// Decodes an operator's call, `None` if it is none.
+    /// Decodes an operator's call; returns `None` if the request isn't one.
     fn operator_call(&self, method: &Method, path: &str) -> Option<OperatorCall>;
 }
