--- a/src/kingcupgrade/transport/gateway/events.rs
+++ b/src/kingcupgrade/transport/gateway/events.rs
@@ -1,60 +1,64 @@
-//! The events of a streamed answer, cut out of its bytes.
+//! Splitting of a server-sent event stream at event boundaries.
 //!
-//! An upstream may stop in the middle of an event. Only whole events are passed on, so that an
-//! answer can go on elsewhere after the last one, and no caller sees half of one twice.
+//! An upstream may fail in the middle of an event. Only complete events are forwarded, so that the
+//! stream can be resumed at another upstream after the last one without the caller receiving part
+//! of an event twice.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event at most; more without an end is no event stream.
+/// The maximum length of an event in bytes; more data without an event boundary is not an event
+/// stream.
 const MAX_EVENT_LEN: usize = 1 << 20;
 
-/// Cuts bytes into whole events.
+/// Splits a byte stream into complete events.
 #[derive(Debug, Default)]
 pub struct EventCutter {
-    rest: BytesMut,
+    /// The beginning of an incomplete event.
+    buffer: BytesMut,
 }
 
-/// Whole events, and what they say.
+/// One or more complete events.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Events {
-    /// Their bytes.
+    /// The events as received.
     pub bytes: Bytes,
-    /// How many they are.
+    /// The number of `data` lines.
     pub count: u32,
-    /// The id of the last one that has one.
+    /// The last numeric event id, if any.
     pub last_id: Option<u64>,
 }
 
 impl EventCutter {
-    /// Takes in bytes and returns the whole events so far, `None` if there is none.
+    /// Appends bytes and returns the events that are now complete, or `None` if there are none.
     pub fn push(&mut self, data: &Bytes) -> Option<Events> {
-        if self.rest.is_empty() && data.ends_with(b"\n\n") {
+        if self.buffer.is_empty() && data.ends_with(b"\n\n") {
             return Some(read_events(data.clone()));
         }
-        self.rest.extend_from_slice(data);
-        let end = find_last_end(&self.rest)?;
-        Some(read_events(self.rest.split_to(end).freeze()))
+        self.buffer.extend_from_slice(data);
+        let end = find_last_end(&self.buffer)?;
+        Some(read_events(self.buffer.split_to(end).freeze()))
     }
 
-    /// Returns how many bytes wait for the end of their event.
+    /// Returns the number of buffered bytes of an incomplete event.
     pub fn pending(&self) -> usize {
-        self.rest.len()
+        self.buffer.len()
     }
 
-    /// Tells whether what waits can't be an event any more.
+    /// Returns whether the buffered bytes exceed the maximum length of an event.
     pub fn is_overfull(&self) -> bool {
-        self.rest.len() > MAX_EVENT_LEN
+        self.buffer.len() > MAX_EVENT_LEN
     }
 
-    /// Returns what waits for its end, at the end of an answer.
+    /// Returns the incomplete event that is left at the end of a response.
     pub fn finish(&mut self) -> Bytes {
-        self.rest.split().freeze()
+        self.buffer.split().freeze()
     }
 }
 
+/// Returns the offset just after the last event boundary.
 fn find_last_end(bytes: &[u8]) -> Option<usize> {
-    let place = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
-    Some(place + 2)
+    let boundary = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
+    Some(boundary + 2)
 }
 
 fn read_events(bytes: Bytes) -> Events {
