--- a/src/kingcupgrade/transport/gateway/pool.rs
+++ b/src/kingcupgrade/transport/gateway/pool.rs
@@ -1,8 +1,9 @@
-//! Connections to upstreams.
+//! Connection pool for upstreams.
 //!
-//! An upstream accepts a limited number of connections from the whole fleet and answers one
-//! request at a time on each. A connection goes back into the pool only after its answer was read
-//! whole and nothing else arrived: bytes that nobody asked for would be taken for the next answer.
+//! An upstream accepts a limited number of connections from the whole fleet and serves one request
+//! at a time on each. A connection is returned to the pool only after its response has been read to
+//! the end and no further bytes have arrived: unsolicited bytes would be taken for the response to
+//! the next request.
 
 use std::{
     cell::RefCell,
@@ -23,35 +24,37 @@
 
 use crate::core::UpstreamName;
 
-/// How long connecting may take: within a region it takes a few milliseconds, and a lost first
-/// packet is repeated only after a second, by when another upstream has long answered.
+/// The time-out for connecting. Within a region connecting takes a few milliseconds. A lost SYN is
+/// retransmitted only after a second, by when another upstream would have answered long ago.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A connection idle for longer is not used again, unless the upstream keeps it for shorter:
-/// upstreams close idle connections, and a request that crosses the close has an unknown fate.
+/// A connection that has been idle for longer is not reused, or for less if the upstream's own
+/// keep-alive time is shorter. Upstreams close idle connections, and if a request crosses with the
+/// close, it is unknown whether it ran.
 const MAX_IDLE: Duration = Duration::from_millis(4_000);
-/// The part of the idle time that an upstream states during which its connection is used.
+/// The fraction of an upstream's stated keep-alive time during which a connection is reused.
 const IDLE_PART: f64 = 0.6;
 
-/// An open connection, moved on by the task that uses it.
+/// An open connection, driven by the task that uses it.
 ///
-/// With a task of its own each answer's bytes would wait for two turns of the processor, that task's
-/// and its caller's, and a connection that is dropped would stay open for one more. Where turns are
-/// late that is half a second in which an upstream works for a caller who has left.
+/// If the connection were driven by a task of its own, the bytes of each response would wait for
+/// two tasks to be scheduled, that one and the caller's, and a dropped connection would stay open
+/// until its task is scheduled. On an overloaded entry that takes half a second, during which the
+/// upstream works for a caller who has left.
 pub struct Connection {
-    /// Sends one request at a time; what it sends is written by [`Connection::drive`].
+    /// Sends one request at a time; [`Connection::drive`] writes it to the socket.
     pub sender: SendRequest<Full<Bytes>>,
-    /// `None` once it is closed.
+    /// `None` once the connection is closed.
     driver: Option<Driver>,
     key: UpstreamName,
     pool: Rc<Pool>,
-    /// How long the upstream keeps it while it is idle.
+    /// How long the upstream keeps the connection open while it is idle, if stated.
     pub keep_alive: Option<Duration>,
 }
 
 type Driver = Pin<Box<dyn Future<Output = ()>>>;
 
 impl Connection {
-    /// Writes and reads as far as that is possible now.
+    /// Writes and reads as much as is possible without blocking.
     pub fn poll_drive(&mut self, cx: &mut Context<'_>) {
         if let Some(driver) = &mut self.driver
             && driver.as_mut().poll(cx).is_ready()
@@ -60,13 +63,14 @@
         }
     }
 
-    /// Polls something that the connection brings, moving it on if it isn't there yet.
+    /// Polls for a value that arrives on the connection, and drives the connection if the value
+    /// isn't ready.
     pub fn poll_for<T>(
         &mut self,
         cx: &mut Context<'_>,
         mut poll: impl FnMut(&mut Context<'_>) -> Poll<T>,
     ) -> Poll<T> {
-        // Were the task registered here, moving the connection on would wake it for nothing.
+        // With the real waker, driving the connection below would wake the task needlessly.
         if let Poll::Ready(ready) = poll(&mut Context::from_waker(Waker::noop())) {
             return Poll::Ready(ready);
         }
@@ -74,13 +78,13 @@
         poll(cx)
     }
 
-    /// Awaits something that the connection brings.
+    /// Drives the connection until a future that depends on it completes.
     pub async fn drive<F: Future>(&mut self, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(|cx| self.poll_for(cx, |cx| future.as_mut().poll(cx))).await
     }
 
-    /// Tells whether it can send; one that the upstream has closed meanwhile can't.
+    /// Returns whether the connection can send a request; it can't once the upstream has closed it.
     fn is_ready(&mut self) -> bool {
         self.poll_drive(&mut Context::from_waker(Waker::noop()));
         self.sender.is_ready()
@@ -104,74 +108,75 @@
     open: usize,
 }
 
-/// Why there is no connection.
+/// Why no connection is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
-    /// As many as allowed are open and in use.
+    /// The maximum number of connections is open, and all are in use.
     Full,
-    /// The upstream can't be reached.
+    /// Connecting to the upstream failed or timed out.
     Unreachable,
 }
 
-/// The connections of one entry.
+/// The pool of an entry's connections to all upstreams.
 #[derive(Default)]
 pub struct Pool {
     slots: RefCell<HashMap<UpstreamName, Slot>>,
 }
 
 impl Pool {
-    /// Returns a connection to an upstream, a kept one if there is one.
+    /// Returns a connection to an upstream: an idle one if possible, otherwise a new one.
     ///
     /// # Errors
     ///
-    /// Returns why there is none.
+    /// Returns an error if `max_open` connections to the upstream are open already, or if it can't
+    /// be connected to.
     pub async fn checkout(
         self: &Rc<Pool>,
         upstream: &UpstreamName,
         address: SocketAddr,
-        most: usize,
+        max_open: usize,
     ) -> Result<Connection, NoConnection> {
         if let Some(connection) = self.take_idle(upstream) {
             return Ok(connection);
         }
-        self.open(upstream, address, most).await
+        self.open(upstream, address, max_open).await
     }
 
     fn take_idle(&self, upstream: &UpstreamName) -> Option<Connection> {
         loop {
             let mut idle = self.slots.borrow_mut().get_mut(upstream)?.idle.pop()?;
             let stated = idle.connection.keep_alive.map(|keep| keep.mul_f64(IDLE_PART));
-            let most = stated.map_or(MAX_IDLE, |stated| stated.min(MAX_IDLE));
-            if idle.since.elapsed() <= most && idle.connection.is_ready() {
+            let max_idle = stated.map_or(MAX_IDLE, |stated| stated.min(MAX_IDLE));
+            if idle.since.elapsed() <= max_idle && idle.connection.is_ready() {
                 return Some(idle.connection);
             }
-            // Dropped outside of the borrow: closing it counts in the slot.
+            // Dropped while `slots` is not borrowed: dropping a connection borrows it mutably.
             drop(idle);
         }
     }
 
-    /// Opens a connection.
     async fn open(
         self: &Rc<Pool>,
         upstream: &UpstreamName,
         address: SocketAddr,
-        most: usize,
+        max_open: usize,
     ) -> Result<Connection, NoConnection> {
         {
             let mut slots = self.slots.borrow_mut();
             let slot = slots.entry(upstream.clone()).or_default();
-            if slot.open >= most {
+            if slot.open >= max_open {
                 return Err(NoConnection::Full);
             }
             slot.open += 1;
         }
-        let guard = OpenGuard { pool: self.clone(), key: upstream.clone(), kept: false };
+        let guard = OpenGuard { pool: self.clone(), key: upstream.clone(), is_kept: false };
         let connecting = async {
             let stream = TcpStream::connect(address).await.ok()?;
-            // Without it a short request waits for an acknowledgement; it can only be slower.
+            // Nagle's algorithm would hold back a short request until the peer acknowledges earlier
+            // data. A failure costs latency only.
             let _ = stream.set_nodelay(true);
-            // A request that was given up must not arrive later: to an upstream that can't be
-            // reached its bytes would be sent again for minutes, unless closing resets.
+            // Closing must reset the connection. Otherwise the kernel would retransmit an abandoned
+            // request to an unreachable upstream for minutes, and it could still arrive.
             stream.set_zero_linger().ok()?;
             let builder = http1::Builder::new();
             builder.handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await.ok()
@@ -181,14 +186,15 @@
             return Err(NoConnection::Unreachable);
         };
         let driver: Driver = Box::pin(async move {
-            // An error shows where the answer is awaited; an idle one is dropped by its state.
+            // The task that awaits the response receives the error as well; an idle connection is
+            // dropped because it is no longer ready.
             let _ = connection.await;
         });
         let (pool, key) = guard.keep();
         Ok(Connection { sender, driver: Some(driver), key, pool, keep_alive: None })
     }
 
-    /// Takes a connection back after its answer was read whole.
+    /// Returns a connection to the pool after its response has been read to the end.
     pub fn give_back(&self, mut connection: Connection) {
         if !connection.is_ready() {
             return;
@@ -198,21 +204,21 @@
         self.slots.borrow_mut().entry(key).or_default().idle.push(idle);
     }
 
-    /// Closes connections that were idle for too long or that the upstream has closed, and those of
-    /// upstreams that are gone.
+    /// Closes the idle connections that have expired, that the upstream has closed, or whose
+    /// upstream is no longer listed.
     pub fn sweep(&self, is_listed: impl Fn(&UpstreamName) -> bool) {
         let mut closing = Vec::new();
         {
             let mut slots = self.slots.borrow_mut();
             for (name, slot) in slots.iter_mut() {
-                let gone = !is_listed(name);
-                let (old, kept) = std::mem::take(&mut slot.idle)
+                let is_delisted = !is_listed(name);
+                let (expired, kept) = std::mem::take(&mut slot.idle)
                     .into_iter()
-                    .partition(|idle: &Idle| gone || idle.since.elapsed() > MAX_IDLE);
+                    .partition(|idle: &Idle| is_delisted || idle.since.elapsed() > MAX_IDLE);
                 slot.idle = kept;
-                let mut old: Vec<Idle> = old;
-                old.extend(slot.idle.extract_if(.., |idle| !idle.connection.is_ready()));
-                closing.extend(old);
+                let mut expired: Vec<Idle> = expired;
+                expired.extend(slot.idle.extract_if(.., |idle| !idle.connection.is_ready()));
+                closing.extend(expired);
             }
             slots.retain(|_, slot| slot.open > 0);
         }
@@ -226,23 +232,23 @@
     }
 }
 
-/// Counts a connection as open while it is made.
+/// Counts a connection as open while it is being established, and undoes that if it fails.
 struct OpenGuard {
     pool: Rc<Pool>,
     key: UpstreamName,
-    kept: bool,
+    is_kept: bool,
 }
 
 impl OpenGuard {
     fn keep(mut self) -> (Rc<Pool>, UpstreamName) {
-        self.kept = true;
+        self.is_kept = true;
         (self.pool.clone(), self.key.clone())
     }
 }
 
 impl Drop for OpenGuard {
     fn drop(&mut self) {
-        if !self.kept {
+        if !self.is_kept {
             self.pool.close(&self.key);
         }
     }
