--- a/src/kingcupgrade/transport/gateway/answer.rs
+++ b/src/kingcupgrade/transport/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the product's own.
+//! Bodies of responses to callers, and responses that this entry generates itself.
 
 use std::{
     pin::Pin,
@@ -13,22 +13,22 @@
 use super::{edge::Edge, relay::Relay};
 use crate::core::{Code, Millis};
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub(super) enum AnswerBody<E: Edge> {
-    /// The product's own, known whole.
-    Own(Full<Bytes>),
-    /// An upstream's, passed on as it comes.
-    Relayed(Box<Relay<E>>),
+    /// A body that is held in memory completely.
+    Full(Full<Bytes>),
+    /// An upstream's stream, forwarded as it arrives.
+    Streamed(Box<Relay<E>>),
 }
 
-/// Why an answer breaks off. The connection to the caller ends without the end of the body, so
-/// that what the caller has can't look whole.
+/// The error that aborts a streamed response. The connection to the caller is closed without the
+/// body's terminator, so that the caller can't mistake the truncated body for a complete one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BrokenOff;
 
 impl std::fmt::Display for BrokenOff {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the upstream's answer broke off")
+        f.write_str("the upstream's response was truncated")
     }
 }
 
@@ -43,27 +43,27 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
         match self.get_mut() {
-            AnswerBody::Own(body) => Pin::new(body).poll_frame(cx).map_err(|err| match err {}),
-            AnswerBody::Relayed(relay) => relay.poll_frame(cx),
+            AnswerBody::Full(body) => Pin::new(body).poll_frame(cx).map_err(|err| match err {}),
+            AnswerBody::Streamed(relay) => relay.poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Own(body) => body.is_end_stream(),
-            AnswerBody::Relayed(_) => false,
+            AnswerBody::Full(body) => body.is_end_stream(),
+            AnswerBody::Streamed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Own(body) => body.size_hint(),
-            AnswerBody::Relayed(relay) => relay.size_hint(),
+            AnswerBody::Full(body) => body.size_hint(),
+            AnswerBody::Streamed(relay) => relay.size_hint(),
         }
     }
 }
 
-/// Makes the answer to a request that is given up.
+/// Builds the error response to a request that is refused or has failed.
 pub(super) fn refusal<E: Edge>(
     edge: &E,
     code: Code,
@@ -75,20 +75,20 @@
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     if retry_after > Millis::ZERO {
         let seconds = format!("{:.2}", retry_after.0 as f64 / 1000.0);
-        let value = HeaderValue::from_str(&seconds).expect("digits and a dot are a header value");
+        let value = HeaderValue::from_str(&seconds).expect("a decimal number is a valid header");
         headers.insert(header::RETRY_AFTER, value);
     }
     if let Some(request_id) = request_id {
         edge.mark_refusal(&mut headers, request_id);
     }
-    let mut response = Response::new(AnswerBody::Own(Full::new(text.into())));
+    let mut response = Response::new(AnswerBody::Full(Full::new(text.into())));
     *response.status_mut() =
-        http::StatusCode::from_u16(code.status()).expect("the table of codes has HTTP statuses");
+        http::StatusCode::from_u16(code.status()).expect("every code maps to an HTTP status");
     *response.headers_mut() = headers;
     response
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes the hop-by-hop headers, which apply to a single connection only.
 pub(super) fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
--- a/src/kingcupgrade/transport/gateway/caller/mod.rs
+++ b/src/kingcupgrade/transport/gateway/caller/mod.rs
@@ -146,7 +146,7 @@
         })
     }
 
-    /// Tells whether the answer is a stream.
+    /// Returns whether the answer is a stream.
     fn is_stream(&self) -> bool {
         matches!(self.route.kind, RouteKind::Stream { .. })
     }
@@ -185,7 +185,7 @@
         strip_hop_headers(&mut head.headers);
         head.version = http::Version::HTTP_11;
         let relay = Relay::new(self, begun.body, begun.connection, begun.ticket);
-        Response::from_parts(head, AnswerBody::Relayed(Box::new(relay)))
+        Response::from_parts(head, AnswerBody::Streamed(Box::new(relay)))
     }
 
     /// Reads an answer whole before anything of it is passed on, so that one that breaks off can
@@ -240,7 +240,7 @@
         self.obtain(None).await.ok()
     }
 
-    /// Tells whether a request that may have run may be sent again, and spends a repeat for it.
+    /// Returns whether a request that may have run may be sent again, and spends a repeat for it.
     pub(super) fn may_repeat(&self) -> bool {
         let attempts = self.progress.borrow().attempts;
         self.route.kind.is_idempotent()
@@ -306,7 +306,7 @@
         }
     }
 
-    /// Tells whether a request that surely did not run may be sent to another upstream; its arrival
+    /// Returns whether a request that surely did not run may be sent to another upstream; its arrival
     /// counts as a repeat all the same.
     fn may_send_after_rejection(&self) -> bool {
         let attempts = self.progress.borrow().attempts;
@@ -386,5 +386,5 @@
     strip_hop_headers(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     head.version = http::Version::HTTP_11;
-    Response::from_parts(head, AnswerBody::Own(Full::new(body)))
+    Response::from_parts(head, AnswerBody::Full(Full::new(body)))
 }
--- a/src/kingcupgrade/transport/gateway/caller/telling.rs
+++ b/src/kingcupgrade/transport/gateway/caller/telling.rs
@@ -8,8 +8,8 @@
     core::{Code, Millis},
     transport::gateway::{
         answer::{AnswerBody, refusal},
-        course::{Answered, Times},
-        decisions::{GivenUp, Placed},
+        course::{LateAnswerLine, Times},
+        decisions::{FailureLine, PlacementLine},
         edge::Edge,
     },
 };
@@ -18,7 +18,7 @@
     /// Tells that an answer is cut after it had begun.
     pub(in crate::transport::gateway) fn tell_broken_off(&self, code: Code) {
         let progress = self.progress.borrow();
-        self.gateway.decisions.broken_off(code, &self.given_up(code, Millis::ZERO, &progress));
+        self.gateway.decisions.truncated(code, &self.given_up(code, Millis::ZERO, &progress));
     }
 
     /// Notes that the first byte of the answer came.
@@ -43,9 +43,9 @@
         };
         self.gateway.decisions.answered(
             &times,
-            &Answered {
+            &LateAnswerLine {
                 request: self.request_id.as_deref(),
-                judgement: times.judge(),
+                judgement: times.classify(),
                 route: &self.route.name,
                 organisation: self.organisation.as_ref(),
                 upstream: &sent.upstream,
@@ -65,8 +65,8 @@
         code: Code,
         retry_after_ms: Millis,
         progress: &'a Progress,
-    ) -> GivenUp<'a> {
-        GivenUp {
+    ) -> FailureLine<'a> {
+        FailureLine {
             request: self.request_id.as_deref(),
             code: code.number(),
             route: Some(&self.route.name),
@@ -87,7 +87,7 @@
         }
         drop(progress);
         let version = self.gateway.traffic.borrow().configuration().map_or(0, |c| c.version);
-        self.gateway.decisions.placed(&Placed {
+        self.gateway.decisions.placed(&PlacementLine {
             request: self.request_id.as_deref(),
             route: &self.route.name,
             organisation: self.organisation.as_ref(),
--- a/src/kingcupgrade/transport/gateway/course.rs
+++ b/src/kingcupgrade/transport/gateway/course.rs
@@ -1,27 +1,30 @@
-//! How an answered request went: what it waited for, and whether its target was met.
+//! Classification of answered requests: whether the latency target was met, and if not, why.
 //!
-//! A late answer is late for one of a few reasons, and each asks for something else: a queue here
-//! for room or shares, an upstream slower than expected for a better estimate, a pause for fewer
-//! requests beside it. So each answer is judged here, where all of its times are known.
+//! Each cause of a late response has its own remedy: waiting in this entry's queue calls for more
+//! capacity or other shares, an upstream slower than expected for a better estimate, and a pause in
+//! a stream for fewer concurrent requests. Responses are classified here because only the entry
+//! knows all the times involved.
 
 use metrics::{counter, histogram};
 use serde::Serialize;
 
 use crate::core::{Millis, Organisation, UpstreamName};
 
-/// Why an answer was late, or that it was not.
+/// Whether a response met its latency target, and why it didn't if not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Judgement {
-    /// Its target was met.
+    /// The target was met.
     OnTime,
-    /// It waited here for longer than its upstream was late.
+    /// The request spent at least as long in this entry's queue as its upstream exceeded the
+    /// expected time.
     LateQueued,
-    /// It was sent more than once, and the first upstream took the time.
+    /// The request was sent more than once, and the last attempt alone took no longer than the
+    /// target: the earlier attempts used up the time.
     LateRepeated,
-    /// Its upstream took longer than there was time.
+    /// The upstream exceeded the expected time by more than the request was queued.
     LateUpstream,
-    /// It began on time and paused for too long.
+    /// The response began on time, but two of its events were too far apart.
     Paused,
 }
 
@@ -37,30 +40,30 @@
     }
 }
 
-/// The times of an answered request.
+/// The durations that make up the latency of an answered request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Times {
-    /// From its arrival to its target.
+    /// The target for the time from arrival to the first byte.
     pub target: Millis,
-    /// How long it waited here for a place.
+    /// Time spent in this entry's queue.
     pub queued: Millis,
-    /// After how long the upstream's first byte was expected, if anything was.
+    /// Expected time from sending to the upstream's first byte; zero if there was no estimate.
     pub expected: Millis,
-    /// After how long it came.
+    /// Actual time from the last sending to the upstream's first byte.
     pub took: Millis,
-    /// From the arrival to the first byte.
+    /// Time from arrival to the first byte.
     pub first_byte: Millis,
     /// The longest pause between two events.
     pub longest_pause: Millis,
-    /// The longest pause that its caller allows.
+    /// The longest pause that the route allows; zero if there is no limit.
     pub max_pause: Millis,
-    /// Upstreams it was sent to.
+    /// Number of upstreams that received the request.
     pub attempts: u32,
 }
 
 impl Times {
-    /// Judges an answer.
-    pub fn judge(&self) -> Judgement {
+    /// Classifies the response.
+    pub fn classify(&self) -> Judgement {
         let is_late = self.first_byte > self.target;
         if !is_late {
             let is_paused = self.max_pause > Millis::ZERO && self.longest_pause > self.max_pause;
@@ -77,9 +80,9 @@
     }
 }
 
-/// The line that tells of an answer that was not on time.
+/// The fields of the log line for a response that was not on time.
 #[derive(Serialize)]
-pub(super) struct Answered<'a> {
+pub(super) struct LateAnswerLine<'a> {
     pub(super) request: Option<&'a str>,
     pub(super) judgement: Judgement,
     pub(super) route: &'a str,
@@ -94,10 +97,10 @@
     pub(super) attempts: u32,
 }
 
-/// Counts an answer by its judgement, and its times.
-pub(super) fn count(times: &Times, judgement: Judgement, route: &str) {
-    let judged = judgement.as_str();
-    counter!("kingcup_answers", "judgement" => judged, "route" => route.to_owned()).increment(1);
+/// Records a response and its durations in the metrics.
+pub(super) fn record_metrics(times: &Times, judgement: Judgement, route: &str) {
+    let label = judgement.as_str();
+    counter!("kingcup_answers", "judgement" => label, "route" => route.to_owned()).increment(1);
     histogram!("kingcup_longest_pause_ms").record(times.longest_pause.0 as f64);
     if times.expected > Millis::ZERO {
         histogram!("kingcup_expected_ms").record(times.expected.0 as f64);
--- a/src/kingcupgrade/transport/gateway/decisions.rs
+++ b/src/kingcupgrade/transport/gateway/decisions.rs
@@ -1,90 +1,92 @@
-//! The lines that tell where requests went and why others were refused, and how many there may be.
+//! Rate-limited log lines for placements, late responses and refusals.
 //!
-//! A line costs processor time and, where nobody reads fast enough, room. Under a flood an entry
-//! would spend more on telling of decisions than on serving. So each second has its lines: of
-//! first placements a few, of refusals and of requests sent again many. What is beyond them is
-//! counted, refusals by code, and the counts are told.
+//! A line costs processor time, and memory if the log is not read fast enough. Under a flood of
+//! requests an entry would spend more on logging decisions than on serving. The lines per second
+//! are therefore limited: to a few for first placements, and to more for refusals, repeats and late
+//! responses together. Refusals beyond the limit are counted by code, and the counts are logged
+//! once a second.
 
 use std::{cell::RefCell, collections::BTreeMap};
 
 use metrics::counter;
 use serde::Serialize;
 
-use super::course::{self, Answered, Judgement, Times};
+use super::course::{self, Judgement, LateAnswerLine, Times};
 use crate::{
     coordination::traffic::Basis,
     core::{Code, Millis, Organisation, UpstreamName},
     util::log,
 };
 
-/// Refusals and repeats told one by one in a second, at some 30 microseconds each: under a fiftieth
-/// of a quarter of a core.
+/// Lines per second for refusals, repeats and late responses. At some 30 µs each they take less
+/// than a fiftieth of a quarter of a core.
 const MAX_LINES: usize = 100;
 
-/// First placements told in a second: enough to see how requests are placed, for a hundredth of a
-/// small processor.
+/// Lines per second for first placements: enough to see how requests are placed, for a hundredth
+/// of a small processor.
 const MAX_PLACED_LINES: usize = 20;
 
-/// The line that tells why a request was given up.
+/// The fields of the log line for a request that was refused or whose response was truncated.
 #[derive(Serialize)]
-pub(super) struct GivenUp<'a> {
+pub(super) struct FailureLine<'a> {
     pub(super) request: Option<&'a str>,
     pub(super) code: u16,
     pub(super) route: Option<&'a str>,
     pub(super) organisation: Option<&'a Organisation>,
     pub(super) retry_after_ms: Millis,
-    /// How long after its arrival.
+    /// Time since the request arrived.
     pub(super) after_ms: Millis,
-    /// Upstreams it arrived at.
+    /// Number of upstreams that received the request.
     pub(super) attempts: u32,
-    /// Upstreams it was or would have been sent to.
+    /// Upstreams to which sending was attempted without success.
     pub(super) tried: &'a [UpstreamName],
 }
 
-/// The line that tells where a request was sent and on what grounds.
+/// The fields of the log line for the upstream chosen for a request, and why.
 #[derive(Serialize)]
-pub(super) struct Placed<'a> {
+pub(super) struct PlacementLine<'a> {
     pub(super) request: Option<&'a str>,
     pub(super) route: &'a str,
     pub(super) organisation: Option<&'a Organisation>,
     pub(super) upstream: &'a UpstreamName,
-    /// Upstreams it arrived at before.
+    /// Number of upstreams that received the request before.
     pub(super) attempts: u32,
-    /// How long after its arrival.
+    /// Time since the request arrived.
     pub(super) after_ms: Millis,
-    /// What was believed of the upstream.
+    /// The estimated state of the upstream on which the decision was based.
     pub(super) basis: &'a Basis,
     /// The version of the configuration in force.
     pub(super) version: u64,
-    /// How old the list of upstreams was.
+    /// The age of the list of upstreams.
     pub(super) listing_age_ms: Millis,
 }
 
-/// What was told in this second.
+/// Writes the lines and counts those of the current second.
 #[derive(Debug, Default)]
 pub(super) struct DecisionLog {
     lines: RefCell<usize>,
     placed: RefCell<usize>,
-    untold: RefCell<BTreeMap<u16, u32>>,
+    /// Failures that were not logged, by code.
+    suppressed: RefCell<BTreeMap<u16, u32>>,
 }
 
 impl DecisionLog {
-    /// Tells where a request goes; of first placements only some.
-    pub(super) fn placed(&self, line: &Placed<'_>) {
-        let (told, most) = match line.attempts {
+    /// Logs the placement of a request, up to the limit for first placements or for repeats.
+    pub(super) fn placed(&self, line: &PlacementLine<'_>) {
+        let (logged, limit) = match line.attempts {
             0 => (&self.placed, MAX_PLACED_LINES),
             _ => (&self.lines, MAX_LINES),
         };
-        let mut told = told.borrow_mut();
-        if *told < most {
-            *told += 1;
+        let mut logged = logged.borrow_mut();
+        if *logged < limit {
+            *logged += 1;
             log::event("placed", line);
         }
     }
 
-    /// Counts an answer, and tells of one that was not on time.
-    pub(super) fn answered(&self, times: &Times, line: &Answered<'_>) {
-        course::count(times, line.judgement, line.route);
+    /// Records a response in the metrics, and logs it if it was not on time.
+    pub(super) fn answered(&self, times: &Times, line: &LateAnswerLine<'_>) {
+        course::record_metrics(times, line.judgement, line.route);
         let mut lines = self.lines.borrow_mut();
         if line.judgement != Judgement::OnTime && *lines < MAX_LINES {
             *lines += 1;
@@ -92,17 +94,17 @@
         }
     }
 
-    /// Tells of a refusal, or counts it.
-    pub(super) fn refused(&self, code: Code, line: &GivenUp<'_>) {
-        self.given_up("refused", code, line);
+    /// Logs the refusal of a request, or counts it if the limit is reached.
+    pub(super) fn refused(&self, code: Code, line: &FailureLine<'_>) {
+        self.log_failure("refused", code, line);
     }
 
-    /// Tells of an answer that was cut after it had begun, or counts it.
-    pub(super) fn broken_off(&self, code: Code, line: &GivenUp<'_>) {
-        self.given_up("broken-off", code, line);
+    /// Logs the truncation of a response that had begun, or counts it if the limit is reached.
+    pub(super) fn truncated(&self, code: Code, line: &FailureLine<'_>) {
+        self.log_failure("broken-off", code, line);
     }
 
-    fn given_up(&self, event: &str, code: Code, line: &GivenUp<'_>) {
+    fn log_failure(&self, event: &str, code: Code, line: &FailureLine<'_>) {
         counter!("kingcup_requests", "code" => code.number().to_string()).increment(1);
         let mut lines = self.lines.borrow_mut();
         if *lines < MAX_LINES {
@@ -110,17 +112,18 @@
             log::event(event, line);
         } else {
             counter!("kingcup_log_lines_untold").increment(1);
-            *self.untold.borrow_mut().entry(code.number()).or_default() += 1;
+            *self.suppressed.borrow_mut().entry(code.number()).or_default() += 1;
         }
     }
 
-    /// Begins another second, and tells how many refusals were not told in the one before.
+    /// Resets the limits for the next second, and logs the number of failures suppressed in the
+    /// last one.
     pub(super) fn next_second(&self) {
         *self.lines.borrow_mut() = 0;
         *self.placed.borrow_mut() = 0;
-        let untold = std::mem::take(&mut *self.untold.borrow_mut());
-        if !untold.is_empty() {
-            log::event("given-up-untold", &untold);
+        let suppressed = std::mem::take(&mut *self.suppressed.borrow_mut());
+        if !suppressed.is_empty() {
+            log::event("given-up-untold", &suppressed);
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/listing.rs
+++ b/src/kingcupgrade/transport/gateway/listing.rs
@@ -1,4 +1,4 @@
-//! Following the platform's list of upstreams.
+//! Reading of the platform's list of upstreams, and its exchange with other entries.
 
 use std::{
     rc::Rc,
@@ -27,30 +27,30 @@
     util::log,
 };
 
-/// How often it is looked whether the list is to be read.
-const LOOK: Duration = Duration::from_millis(100);
-/// A reading that took longer is not told to others: the process was suspended or starved on the
-/// way, and what it read may be older than what the others know.
+/// How often to check whether a read of the list is due.
+const POLL: Duration = Duration::from_millis(100);
+/// A list that took longer to read is not sent to other entries: the process was suspended or
+/// starved of processor time meanwhile, and the list may be older than theirs.
 const MAX_READ_TIME: Millis = Millis(500);
-/// How long reading a page may take.
-const TIMEOUT: Duration = Duration::from_millis(800);
-/// Pages of one reading at most.
+/// The time-out for reading a page.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(800);
+/// The maximum number of pages read at a time.
 const MAX_PAGES: usize = 1_000;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Reads the list whenever this entry has to.
+/// Reads the list whenever that is due by this entry's duty.
 pub(super) async fn follow<E: Edge>(gateway: Rc<Gateway<E>>) -> anyhow::Result<()> {
     let mut sender = None;
     let mut is_reachable = true;
     loop {
         let duty = gateway.listing_duty.get();
         if !gateway.listing_plan.borrow().is_due(gateway.now(), duty) {
-            sleep(LOOK).await;
+            sleep(POLL).await;
             continue;
         }
         let age = Age::start();
-        let read = read_whole(&gateway, &mut sender).await;
+        let read = read_all_pages(&gateway, &mut sender).await;
         let entries = gateway.traffic.borrow().entry_count();
         let now = gateway.now();
         gateway.listing_plan.borrow_mut().on_read(now, read.is_ok(), entries);
@@ -74,78 +74,81 @@
 }
 
 impl<E: Edge> Gateway<E> {
-    /// Takes in what was read here, and tells those for whom this entry reads.
+    /// Applies a list read from the platform, and sends it to the entries that this one reads for.
     fn on_listing_read(&self, upstreams: Vec<ListedUpstream>, age: Age, duty: ListingDuty) {
         let read_time = age.get().filter(|age| *age < MAX_READ_TIME);
         let mut known = self.listing.borrow_mut();
         known.age = Some(age);
-        let news = known.listing.on_read(&self.settings.instance(), unix_ms(), upstreams);
+        let update = known.listing.on_read(&self.settings.instance(), unix_ms(), upstreams);
         drop(known);
         if let Some(age) = read_time {
-            self.fleet.tell(FleetInput::ShareListing(ListingNews { age, ..news }, duty));
+            self.fleet.tell(FleetInput::ShareListing(ListingNews { age, ..update }, duty));
         }
         self.set_listing();
     }
 
-    /// Takes in what another entry tells; asks it for the whole list if that is needed.
-    pub(super) fn on_listing_news(&self, from: Instance, news: ListingNews) {
-        let age = news.age;
+    /// Applies an update from another entry; asks that entry for the complete list if the update is
+    /// relative to a list that is not known here.
+    pub(super) fn on_listing_update(&self, from: Instance, update: ListingNews) {
+        let age = update.age;
         let mut known = self.listing.borrow_mut();
-        if !known.listing.on_news(news) {
+        if !known.listing.on_news(update) {
             self.fleet.tell(FleetInput::WantListing(Some(from)));
             return;
         }
-        known.age = Some(Age { before: age, ..Age::start() });
+        known.age = Some(Age { initial: age, ..Age::start() });
         drop(known);
         self.listing_plan.borrow_mut().on_heard(self.now(), age);
         self.set_listing();
     }
 
+    /// Passes the known list to the scheduler, and polls the queue for requests that can start now.
     fn set_listing(&self) {
         let upstreams = self.listing.borrow().listing.upstreams().cloned().collect();
         self.traffic.borrow_mut().set_listing(self.now(), upstreams);
         self.poll_waiting();
     }
 
-    /// Tells an entry that asks what is known here, if that is young enough.
-    pub(super) fn tell_listing(&self, to: Instance) {
+    /// Sends the known list to an entry that asked for it, if it is recent enough.
+    pub(super) fn send_listing(&self, to: Instance) {
         let known = self.listing.borrow();
         let age = known.age.as_ref().and_then(Age::get).filter(|age| *age < MAX_TOLD_AGE);
-        if let (Some(age), Some(news)) = (age, known.listing.whole()) {
-            self.fleet.tell(FleetInput::TellListing(to, ListingNews { age, ..news }));
+        if let (Some(age), Some(complete)) = (age, known.listing.whole()) {
+            self.fleet.tell(FleetInput::TellListing(to, ListingNews { age, ..complete }));
         }
     }
 }
 
-/// The platform's list as this entry knows it.
+/// The platform's list as last read or received, and its age.
 #[derive(Default)]
-pub(super) struct Known {
+pub(super) struct CachedListing {
     listing: KnownListing,
     age: Option<Age>,
 }
 
-/// How long ago something began, by both clocks: the steady one stands still while the machine is
+/// The time since an event, measured by two clocks: the monotonic clock stops while the machine is
 /// suspended, and the wall clock may jump.
 struct Age {
-    /// How long ago it was when it became known here.
-    before: Millis,
-    steady: Instant,
+    /// The age when the measurement began.
+    initial: Millis,
+    monotonic: Instant,
     wall: SystemTime,
 }
 
 impl Age {
     fn start() -> Age {
-        Age { before: Millis::ZERO, steady: Instant::now(), wall: SystemTime::now() }
+        Age { initial: Millis::ZERO, monotonic: Instant::now(), wall: SystemTime::now() }
     }
 
-    /// Returns it; `None` if the wall clock went back, and so says nothing.
+    /// Returns the age by the clock that advanced more, or `None` if it is unknown because the wall
+    /// clock was set back.
     fn get(&self) -> Option<Millis> {
-        let age = self.wall.elapsed().ok()?.max(self.steady.elapsed());
-        Some(self.before + Millis(age.as_millis() as u64))
+        let age = self.wall.elapsed().ok()?.max(self.monotonic.elapsed());
+        Some(self.initial + Millis(age.as_millis() as u64))
     }
 }
 
-async fn read_whole<E: Edge>(
+async fn read_all_pages<E: Edge>(
     gateway: &Gateway<E>,
     sender: &mut Option<Sender>,
 ) -> anyhow::Result<Vec<ListedUpstream>> {
@@ -153,7 +156,7 @@
     let mut page = None;
     for _ in 0..MAX_PAGES {
         let path = gateway.edge.listing_path(page.as_deref());
-        let body = timeout(TIMEOUT, read_page(gateway, sender, &path)).await??;
+        let body = timeout(PAGE_TIMEOUT, read_page(gateway, sender, &path)).await??;
         let read = gateway.edge.decode_listing(&body)?;
         if read.unreadable > 0 {
             log::warning("listing-entries-unreadable", &read.unreadable);
@@ -169,20 +172,20 @@
 
 async fn read_page<E: Edge>(
     gateway: &Gateway<E>,
-    kept: &mut Option<Sender>,
+    idle: &mut Option<Sender>,
     path: &str,
 ) -> anyhow::Result<Bytes> {
     let address = gateway
         .settings
         .listing_address
-        .ok_or_else(|| anyhow::anyhow!("the settings name no list of upstreams"))?;
-    let mut sender = match kept.take().filter(SendRequest::is_ready) {
+        .ok_or_else(|| anyhow::anyhow!("the settings contain no address of the upstream list"))?;
+    let mut sender = match idle.take().filter(SendRequest::is_ready) {
         Some(sender) => sender,
         None => {
             let stream = TcpStream::connect(address).await?;
             let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
             tokio::task::spawn_local(async move {
-                // An error shows where the answer is awaited.
+                // An error is also returned to the task that awaits the response.
                 let _ = connection.await;
             });
             sender
@@ -194,7 +197,7 @@
     let response = sender.send_request(request).await?;
     let status = response.status();
     let body = response.into_body().collect().await?.to_bytes();
-    anyhow::ensure!(status.is_success(), "the list of upstreams answers {status}");
-    *kept = Some(sender);
+    anyhow::ensure!(status.is_success(), "request for the list of upstreams failed: {status}");
+    *idle = Some(sender);
     Ok(body)
 }
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -1,7 +1,8 @@
-//! An entry's traffic: callers' connections, upstreams' connections, and the decisions between.
+//! The reverse proxy of an entry: connections from callers, connections to upstreams, and the
+//! scheduling of requests between them.
 //!
-//! All of it runs as tasks on one thread. A request waits for nothing but the network and its
-//! turn; decisions are calls of [`Traffic`], without a message or a lock.
+//! Everything runs as tasks on one thread. A request waits only for the network and for its turn on
+//! the processor; scheduling decisions are direct calls of [`Traffic`], without messages or locks.
 
 mod answer;
 mod caller;
@@ -9,10 +10,10 @@
 mod decisions;
 pub mod edge;
 pub mod events;
-mod lateness;
 mod listing;
 pub mod pool;
 mod relay;
+mod scheduling_delay;
 mod serve;
 
 use std::{
@@ -33,10 +34,10 @@
 };
 
 use self::{
-    decisions::{DecisionLog, GivenUp},
+    decisions::{DecisionLog, FailureLine},
     edge::Edge,
-    lateness::probe_lateness,
     pool::Pool,
+    scheduling_delay::probe_scheduling_delay,
 };
 use super::{
     fleet::{FleetHandle, FleetNews},
@@ -58,34 +59,34 @@
     util::log,
 };
 
-/// How often requests that wait are looked at: a small part of any target.
+/// How often queued requests are polled: a small fraction of any latency target.
 const POLL: Duration = Duration::from_millis(10);
-/// How often idle connections are looked at.
+/// How often idle connections are checked, metrics are set and log limits are reset.
 const SWEEP: Millis = Millis(1_000);
 
-/// Everything the tasks of one entry share.
+/// The state shared by all tasks of one entry.
 pub(crate) struct Gateway<E> {
     edge: Arc<E>,
     settings: Arc<FleetSettings>,
     clock: Clock,
     traffic: RefCell<Traffic>,
-    /// Requests that wait for a verdict.
+    /// Queued requests, each with the channel that receives its verdict.
     waiting: RefCell<HashMap<RequestNo, oneshot::Sender<Verdict>>>,
     pool: Rc<Pool>,
     decisions: DecisionLog,
     overload: Cell<Overload>,
-    /// Whether a measurement for it is under way.
+    /// Whether a measurement of the scheduling delay is in progress.
     is_probing: Cell<bool>,
     listing_plan: RefCell<ListingPlan>,
-    /// What this entry has to do with reading the platform's list.
+    /// This entry's role in reading the platform's list of upstreams.
     listing_duty: Cell<ListingDuty>,
-    /// The list as it is known here.
-    listing: RefCell<listing::Known>,
+    /// The last known list of upstreams.
+    listing: RefCell<listing::CachedListing>,
     next_request: Cell<RequestNo>,
     open_requests: Cell<usize>,
     open_connections: Cell<usize>,
     shutdown: Cell<Shutdown>,
-    /// Tells the tasks how far the stopping has come.
+    /// Notifies the tasks of the stage of the shutdown.
     drain: tokio::sync::watch::Sender<DrainStage>,
     fleet: FleetHandle,
 }
@@ -99,13 +100,13 @@
         *self.drain.borrow()
     }
 
-    /// Tells whether a request that may take this long surely ends before the process does.
-    fn has_time_for(&self, patience: Millis) -> bool {
-        self.shutdown.get().has_time_for(self.now(), patience)
+    /// Returns whether a request with this time-out is certain to end before the process does.
+    fn has_time_for(&self, timeout: Millis) -> bool {
+        self.shutdown.get().has_time_for(self.now(), timeout)
     }
 
-    /// Moves an entry that stops on by a stage, if it is time.
-    fn step_shutdown(&self) -> DrainStage {
+    /// Advances a shutdown in progress by one stage if that is due, and returns the stage.
+    fn advance_shutdown(&self) -> DrainStage {
         let mut shutdown = self.shutdown.get();
         let before = shutdown.stage();
         let is_idle = self.open_requests.get() == 0 && self.open_connections.get() == 0;
@@ -125,8 +126,8 @@
             && traffic.has_upstreams()
     }
 
-    /// Shows what this entry holds and believes as metrics.
-    fn show_state(&self, now: Millis) {
+    /// Sets the gauges of this entry's state.
+    fn record_metrics(&self, now: Millis) {
         let traffic = self.traffic.borrow();
         gauge!("kingcup_open_requests").set(self.open_requests.get() as f64);
         gauge!("kingcup_open_connections").set(self.open_connections.get() as f64);
@@ -147,9 +148,9 @@
         }
     }
 
-    /// Tells of a refusal before the request's route was looked for.
-    fn refuse_unplaced(&self, code: Code, retry_after: Millis, request: Option<&str>) {
-        let line = GivenUp {
+    /// Logs and counts the refusal of a request that has not been routed.
+    fn log_unrouted_refusal(&self, code: Code, retry_after: Millis, request: Option<&str>) {
+        let line = FailureLine {
             request,
             code: code.number(),
             route: None,
@@ -162,34 +163,34 @@
         self.decisions.refused(code, &line);
     }
 
-    /// Lets requests that wait go on as far as there is room.
+    /// Delivers the verdicts on queued requests that can start or must be refused now.
     fn poll_waiting(&self) {
         let mut verdicts = Vec::new();
         self.traffic.borrow_mut().poll(self.now(), &mut verdicts);
         let mut waiting = self.waiting.borrow_mut();
         for (no, verdict) in verdicts {
             if let Some(tx) = waiting.remove(&no) {
-                // A caller that left meanwhile is told of by its own task.
+                // Sending fails if the caller has disconnected; its own task handles that.
                 let _ = tx.send(verdict);
             }
         }
     }
 
-    fn on_news(&self, news: FleetNews) {
-        match news {
+    fn on_fleet_update(&self, update: FleetNews) {
+        match update {
             FleetNews::View(view) => {
                 let out = view.domains().filter(|s| s.out).map(|s| s.name.clone());
                 let out: BTreeSet<_> = out.collect();
                 let mut traffic = self.traffic.borrow_mut();
                 traffic.set_domains_out(out);
-                let Some(whole) = view.whole() else { return };
+                let Some(newest) = view.whole() else { return };
                 let known = traffic.configuration().map_or(0, |known| known.version);
-                if whole.version <= known {
+                if newest.version <= known {
                     return;
                 }
-                match self.edge.decode_configuration(whole.text.as_bytes()) {
+                match self.edge.decode_configuration(newest.text.as_bytes()) {
                     Ok(configuration) => {
-                        log::event("configuration-in-force", &whole.version);
+                        log::event("configuration-in-force", &newest.version);
                         traffic.set_configuration(Arc::new(configuration));
                     }
                     Err(err) => log::warning("configuration-unreadable", &err),
@@ -197,11 +198,11 @@
             }
             FleetNews::Entries(entries) => {
                 let own = &self.settings.failure_domain;
-                let here = entries.iter().filter(|Resident(_, domain)| domain == own);
-                let here: Vec<Instance> = here.map(|Resident(entry, _)| entry.clone()).collect();
+                let local = entries.iter().filter(|Resident(_, domain)| domain == own);
+                let local: Vec<Instance> = local.map(|Resident(entry, _)| entry.clone()).collect();
                 let all: Vec<Instance> =
                     entries.into_iter().map(|Resident(entry, _)| entry).collect();
-                let neighbours = Neighbours { fleet: &all, domain: &here };
+                let neighbours = Neighbours { fleet: &all, domain: &local };
                 let duty = neighbours.duty(&self.settings.instance());
                 if self.listing_duty.replace(duty) != duty {
                     log::event("listing-duty", &duty);
@@ -211,8 +212,8 @@
                     self.fleet.tell(FleetInput::WantListing(None));
                 }
             }
-            FleetNews::Listed(from, news) => self.on_listing_news(from, news),
-            FleetNews::ListingWanted(from) => self.tell_listing(from),
+            FleetNews::Listed(from, update) => self.on_listing_update(from, update),
+            FleetNews::ListingWanted(from) => self.send_listing(from),
             FleetNews::Heard(from, report) => {
                 self.traffic.borrow_mut().on_report(self.now(), from, report);
             }
@@ -220,11 +221,11 @@
     }
 }
 
-/// Runs an entry until it is told to stop and has finished what it began.
+/// Runs an entry until it receives SIGTERM and has drained its requests.
 ///
 /// # Errors
 ///
-/// Returns an error if an address can't be listened on.
+/// Returns an error if a listener can't be bound or an essential task fails.
 pub fn run<E: Edge>(
     edge: Arc<E>,
     settings: Arc<FleetSettings>,
@@ -241,10 +242,10 @@
     let callers = listen_on(settings.caller_address, "callers")?;
     let ready = listen_on(settings.ready_address, "readiness")?;
     metrics::start(settings.metrics_address).await.context("metrics")?;
-    let (news_tx, mut news) = mpsc::unbounded_channel();
-    let sink = move |event| {
-        // Without the traffic thread the process is about to end.
-        let _ = news_tx.send(event);
+    let (update_tx, mut updates) = mpsc::unbounded_channel();
+    let sink = move |update| {
+        // The receiver is gone only while the process exits.
+        let _ = update_tx.send(update);
     };
     let fleet = FleetHandle::start(settings.clone(), Box::new(sink))?;
     let gateway = Rc::new(Gateway {
@@ -276,28 +277,29 @@
     tasks.spawn("news", {
         let gateway = gateway.clone();
         async move {
-            while let Some(event) = news.recv().await {
-                gateway.on_news(event);
+            while let Some(update) = updates.recv().await {
+                gateway.on_fleet_update(update);
             }
             Ok(())
         }
     });
     log::event("started", &settings.instance());
     tokio::select! {
-        ended = keep_time(&gateway, &signals) => ended?,
+        ended = run_timers(&gateway, &signals) => ended?,
         err = tasks.failure() => return Err(err),
     }
     log::event("stopped", &settings.instance());
     Ok(())
 }
 
-fn listen_on(address: Option<SocketAddr>, what: &str) -> anyhow::Result<TcpListener> {
-    let address = address.with_context(|| format!("the settings name no address for {what}"))?;
-    listen(address).with_context(|| format!("{what} at {address}"))
+fn listen_on(address: Option<SocketAddr>, purpose: &str) -> anyhow::Result<TcpListener> {
+    let address =
+        address.with_context(|| format!("the settings contain no address for {purpose}"))?;
+    listen(address).with_context(|| format!("could not listen for {purpose} on {address}"))
 }
 
-/// Does what is due from time to time, until the process has stopped.
-async fn keep_time<E: Edge>(
+/// Runs the periodic work until the shutdown is complete.
+async fn run_timers<E: Edge>(
     gateway: &Rc<Gateway<E>>,
     signals: &EarlySignals,
 ) -> anyhow::Result<()> {
@@ -311,7 +313,7 @@
     let mut next_sweep = Millis::ZERO;
     loop {
         tokio::select! {
-            _ = ticks.tick() => probe_lateness(gateway),
+            _ = ticks.tick() => probe_scheduling_delay(gateway),
             _ = terminated.recv() => begin_shutdown(gateway),
         }
         let now = gateway.now();
@@ -329,11 +331,11 @@
             next_sweep = now + SWEEP;
             let traffic = gateway.traffic.borrow();
             gateway.log_overload();
-            gateway.show_state(now);
+            gateway.record_metrics(now);
             gateway.decisions.next_second();
             gateway.pool.sweep(|name| traffic.upstreams().contains_key(name));
         }
-        if gateway.step_shutdown() == DrainStage::Stopped {
+        if gateway.advance_shutdown() == DrainStage::Stopped {
             gateway.fleet.tell(FleetInput::Drain);
             time::sleep(POLL).await;
             return Ok(());
--- a/src/kingcupgrade/transport/gateway/lateness.rs
+++ b/src/kingcupgrade/transport/gateway/scheduling_delay.rs
@@ -1,4 +1,4 @@
-//! How far an entry's processor is behind, and what follows from it.
+//! Measurement of the scheduling delay of an entry's tasks, and overload protection based on it.
 
 use std::rc::Rc;
 
@@ -7,36 +7,36 @@
 use super::{Gateway, edge::Edge};
 use crate::{core::Millis, util::log};
 
-/// The line that tells how far an entry's processor is behind.
+/// The fields of the log line for an overloaded entry.
 #[derive(Serialize)]
-struct Overloaded {
-    /// The part of requests that is refused.
+struct OverloadLine {
+    /// The fraction of requests that is refused.
     part: f64,
-    /// Whether all are, until the processor has caught up.
+    /// Whether all requests are refused until the processor has caught up.
     refuses_all: bool,
-    /// How long a task waited for its turn last.
+    /// The last measured scheduling delay.
     turn_wait_ms: Millis,
-    /// Connections and requests that are open.
+    /// The numbers of open connections and open requests.
     open: (usize, usize),
-    /// Requests that wait for room.
+    /// The number of queued requests.
     waiting: usize,
 }
 
 impl<E: Edge> Gateway<E> {
-    fn note_lateness(&self, late: Millis) {
+    fn record_probe_delay(&self, delay: Millis) {
         let mut overload = self.overload.get();
-        overload.on_turn(late);
+        overload.on_turn(delay);
         self.overload.set(overload);
     }
 
-    /// Notes how long a new connection waited for its turn.
-    pub(super) fn note_wait(&self, late: Millis) {
+    /// Records how long a new connection's task waited until it first ran.
+    pub(super) fn record_connection_delay(&self, delay: Millis) {
         let mut overload = self.overload.get();
-        overload.on_wait(late);
+        overload.on_wait(delay);
         self.overload.set(overload);
     }
 
-    /// Logs what this entry refuses for want of processor time, if anything.
+    /// Logs the state of the overload protection if it refuses any requests.
     pub(super) fn log_overload(&self) {
         let overload = self.overload.get();
         let part = overload.part();
@@ -45,7 +45,7 @@
         }
         log::event(
             "overloaded",
-            &Overloaded {
+            &OverloadLine {
                 part,
                 refuses_all: overload.is_far_behind(),
                 turn_wait_ms: overload.turn_wait(),
@@ -55,8 +55,8 @@
         );
     }
 
-    /// Tells whether the request that came now is too much for this entry's processor.
-    pub(super) fn is_too_much(&self) -> bool {
+    /// Decides whether to refuse the request that has just arrived because of overload.
+    pub(super) fn must_shed(&self) -> bool {
         let mut overload = self.overload.get();
         let refuses = overload.refuses();
         self.overload.set(overload);
@@ -64,11 +64,11 @@
     }
 }
 
-/// Measures how long a task waits for its turn behind those of callers and upstreams.
+/// Measures how long a new task waits until it runs, behind the tasks of callers and upstreams.
 ///
-/// The timer itself fires on time however many tasks wait: the library looks at timers between
-/// tasks.
-pub(super) fn probe_lateness<E: Edge>(gateway: &Rc<Gateway<E>>) {
+/// A late timer would not show the delay: the runtime checks timers between tasks, so they fire on
+/// time however many tasks are ready to run.
+pub(super) fn probe_scheduling_delay<E: Edge>(gateway: &Rc<Gateway<E>>) {
     if gateway.is_probing.replace(true) {
         return;
     }
@@ -76,6 +76,6 @@
     let gateway = gateway.clone();
     tokio::task::spawn_local(async move {
         gateway.is_probing.set(false);
-        gateway.note_lateness(gateway.now().since(began));
+        gateway.record_probe_delay(gateway.now().since(began));
     });
 }
--- a/src/kingcupgrade/transport/gateway/serve.rs
+++ b/src/kingcupgrade/transport/gateway/serve.rs
@@ -80,7 +80,7 @@
                 let accepted = gateway.now();
                 let gateway = gateway.clone();
                 tokio::task::spawn_local(async move {
-                    gateway.note_wait(gateway.now().since(accepted));
+                    gateway.record_connection_delay(gateway.now().since(accepted));
                     serve_connection(gateway, stream).await;
                 });
             }
@@ -137,7 +137,7 @@
     let _ = connection.await;
 }
 
-/// Tells whether a caller may keep its connection after an answer.
+/// Returns whether a caller may keep its connection after an answer.
 ///
 /// An entry that has more callers than it can carry parts with them: they come back to the entry
 /// that the balancer names then. One that is told to stop says so with each answer: a connection that it closes later may
@@ -158,7 +158,7 @@
     let decoded = gateway.edge.read_caller(&head);
     let request_id = decoded.request_id.clone();
     let refuse = |code, retry_after| {
-        gateway.refuse_unplaced(code, retry_after, request_id.as_deref());
+        gateway.log_unrouted_refusal(code, retry_after, request_id.as_deref());
         Ok(refusal(&*gateway.edge, code, retry_after, request_id.as_deref()))
     };
     let configuration = gateway.traffic.borrow().configuration().cloned();
@@ -174,7 +174,7 @@
         Ok(caller) if !gateway.has_time_for(caller.patience()) => {
             refuse(Code::Draining, RETRY_AFTER_DRAIN)
         }
-        Ok(caller) if gateway.is_too_much() => Ok(caller.turn_away()),
+        Ok(caller) if gateway.must_shed() => Ok(caller.turn_away()),
         Ok(caller) => Ok(Rc::new(caller).serve().await),
         Err(code) => refuse(code, Millis::ZERO),
     }
--- a/tests/testsuite/course.rs
+++ b/tests/testsuite/course.rs
@@ -22,13 +22,13 @@
 /// wait would mend the queue for a slow upstream, or the other way round.
 #[test]
 fn a_late_answer_is_counted_under_what_made_it_late() {
-    assert_eq!(times(200, 200, 250).judge(), Judgement::OnTime);
-    assert_eq!(times(300, 200, 250).judge(), Judgement::LateQueued);
-    assert_eq!(times(100, 200, 900).judge(), Judgement::LateUpstream);
+    assert_eq!(times(200, 200, 250).classify(), Judgement::OnTime);
+    assert_eq!(times(300, 200, 250).classify(), Judgement::LateQueued);
+    assert_eq!(times(100, 200, 900).classify(), Judgement::LateUpstream);
     let repeated = Times { first_byte: Millis(1_500), attempts: 2, ..times(0, 200, 300) };
-    assert_eq!(repeated.judge(), Judgement::LateRepeated);
+    assert_eq!(repeated.classify(), Judgement::LateRepeated);
     let paused = Times { longest_pause: Millis(400), ..times(0, 200, 300) };
-    assert_eq!(paused.judge(), Judgement::Paused);
+    assert_eq!(paused.classify(), Judgement::Paused);
     // Nothing is said of pauses where the route allows any.
-    assert_eq!(Times { max_pause: Millis::ZERO, ..paused }.judge(), Judgement::OnTime);
+    assert_eq!(Times { max_pause: Millis::ZERO, ..paused }.classify(), Judgement::OnTime);
 }
