--- a/src/kingcupgrade/transport/gateway/relay.rs
+++ b/src/kingcupgrade/transport/gateway/relay.rs
@@ -1,4 +1,5 @@
-//! Passing on a streamed answer, event by event, and going on elsewhere where it breaks off.
+//! Forwarding of a streamed response event by event, and resumption at another upstream if the
+//! stream breaks off.
 
 use std::{
     future::Future,
@@ -24,24 +25,26 @@
     core::{Code, Millis, configuration::RouteKind},
 };
 
-/// An upstream silent for this many of the longest pauses in the middle of a stream is given up:
-/// ordinary pauses stay within one, and a caller gives up after eight.
-const SILENT_GAPS: u64 = 4;
-/// Never sooner than this, in milliseconds: an engine that runs out of memory reads a prompt again
-/// in the middle of its stream.
-const MIN_SILENCE: u64 = 1_000;
+/// An upstream is taken for hung if it sends nothing in the middle of a stream for this many times
+/// the route's longest allowed pause: ordinary pauses stay within one such span, and callers give
+/// up after eight.
+const MAX_SILENT_GAPS: u64 = 4;
+/// The minimum of that time in milliseconds: an engine that runs out of memory has to process a
+/// prompt again in the middle of its stream.
+const MIN_SILENCE_MS: u64 = 1_000;
 
-/// A stream is cut this long after its caller's time is over, in milliseconds: a caller that keeps
-/// its own time leaves first, and is not cut off by a clock that runs a little ahead.
-const CUT_SLACK: Duration = Duration::from_millis(100);
+/// A stream is aborted this long after its deadline: a caller that enforces its own deadline
+/// disconnects first, and is not cut off because this entry's clock runs slightly ahead.
+const ABORT_SLACK: Duration = Duration::from_millis(100);
 
-/// What is being read.
+/// The upstream response being read.
 struct Source<E: Edge> {
     body: Incoming,
     connection: Connection,
     ticket: Ticket<E>,
 }
 
+/// Obtains a response from another upstream; `None` if the stream can't be resumed.
 type Resuming<E> = Pin<Box<dyn Future<Output = Option<Begun<E>>>>>;
 
 enum State<E: Edge> {
@@ -50,20 +53,21 @@
     Ended,
 }
 
-/// A streamed answer on its way to its caller.
+/// A streamed response that is being forwarded to its caller.
 pub(super) struct Relay<E: Edge> {
     caller: Rc<Caller<E>>,
     state: State<E>,
     cutter: EventCutter,
+    /// The id of the last event forwarded.
     last_id: Option<u64>,
-    /// When the last event came.
+    /// When the last event arrived.
     last_event: Option<Instant>,
     longest_pause: Duration,
-    /// When it is cut.
-    cut_at: Instant,
-    /// Until when the upstream may stay silent.
+    /// When the stream is aborted.
+    abort_at: Instant,
+    /// When the upstream is taken for hung unless it sends something.
     silent_until: Instant,
-    alarm: Pin<Box<Sleep>>,
+    timer: Pin<Box<Sleep>>,
 }
 
 impl<E: Edge> Relay<E> {
@@ -80,8 +84,8 @@
             last_id: None,
             last_event: None,
             longest_pause: Duration::ZERO,
-            cut_at: caller.deadline + CUT_SLACK,
-            alarm: Box::pin(sleep_until(silent_until)),
+            abort_at: caller.deadline + ABORT_SLACK,
+            timer: Box::pin(sleep_until(silent_until)),
             silent_until,
             caller,
         }
@@ -103,11 +107,11 @@
                 State::Ended => return Poll::Ready(None),
                 State::Resuming(resuming) => match resuming.as_mut().poll(cx) {
                     Poll::Ready(Some(begun)) => {
-                        self.go_on(begun);
+                        self.on_resumed(begun);
                         continue;
                     }
-                    Poll::Ready(None) => return self.break_off(SendEnd::Broken),
-                    Poll::Pending => return self.poll_alarm(cx),
+                    Poll::Ready(None) => return self.abort(SendEnd::Broken),
+                    Poll::Pending => return self.poll_timer(cx),
                 },
                 State::Reading(Source { body, connection, .. }) => {
                     connection.poll_for(cx, |cx| Pin::new(&mut *body).poll_frame(cx))
@@ -116,7 +120,7 @@
             match polled {
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    if let Some(events) = self.take(&data) {
+                    if let Some(events) = self.on_data(&data) {
                         return Poll::Ready(Some(Ok(Frame::data(events))));
                     }
                 }
@@ -126,11 +130,11 @@
                 }
                 Poll::Ready(Some(Err(_)) | None) => {
                     if !self.resume() {
-                        return self.break_off(SendEnd::Broken);
+                        return self.abort(SendEnd::Broken);
                     }
                 }
                 Poll::Pending => {
-                    if let Poll::Ready(ended) = self.poll_alarm(cx) {
+                    if let Poll::Ready(ended) = self.poll_timer(cx) {
                         return Poll::Ready(ended);
                     }
                     if !matches!(self.state, State::Resuming(_)) {
@@ -141,8 +145,8 @@
         }
     }
 
-    /// Takes in bytes of the upstream; returns whole events.
-    fn take(&mut self, data: &Bytes) -> Option<Bytes> {
+    /// Processes bytes from the upstream, and returns the events that are complete with them.
+    fn on_data(&mut self, data: &Bytes) -> Option<Bytes> {
         let events = self.cutter.push(data)?;
         self.last_id = events.last_id.or(self.last_id);
         if let State::Reading(source) = &self.state {
@@ -150,24 +154,25 @@
         }
         let now = Instant::now();
         match self.last_event.replace(now) {
-            Some(before) => self.longest_pause = self.longest_pause.max(now - before),
+            Some(previous) => self.longest_pause = self.longest_pause.max(now - previous),
             None => self.caller.on_first_byte(),
         }
-        let gap = self.caller.route.max_gap.0 * SILENT_GAPS;
-        let silence = Duration::from_millis(gap.max(MIN_SILENCE));
-        self.silent_until = self.cut_at.min(now + silence);
+        let gap = self.caller.route.max_gap.0 * MAX_SILENT_GAPS;
+        let silence = Duration::from_millis(gap.max(MIN_SILENCE_MS));
+        self.silent_until = self.abort_at.min(now + silence);
         Some(events.bytes)
     }
 
-    /// Looks whether the upstream stayed silent for too long, or the time is over.
-    fn poll_alarm(
+    /// Resumes the stream elsewhere if the upstream has been silent for too long, and aborts it if
+    /// the deadline has passed.
+    fn poll_timer(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
-        while self.alarm.as_mut().poll(cx).is_ready() {
+        while self.timer.as_mut().poll(cx).is_ready() {
             let now = Instant::now();
-            if now >= self.cut_at {
-                return self.break_off(SendEnd::Cancelled);
+            if now >= self.abort_at {
+                return self.abort(SendEnd::Cancelled);
             }
             let can_resume = matches!(
                 (&self.state, self.caller.route.kind),
@@ -175,15 +180,15 @@
             );
             if now >= self.silent_until && can_resume && self.resume() {
                 cx.waker().wake_by_ref();
-                self.silent_until = self.cut_at;
+                self.silent_until = self.abort_at;
             }
-            let next = if self.silent_until > now { self.silent_until } else { self.cut_at };
-            self.alarm.as_mut().reset(next);
+            let next = if self.silent_until > now { self.silent_until } else { self.abort_at };
+            self.timer.as_mut().reset(next);
         }
         Poll::Pending
     }
 
-    /// Begins to go on at another upstream; tells whether that is possible.
+    /// Starts to resume the stream at another upstream; returns whether that is permitted.
     fn resume(&mut self) -> bool {
         let State::Reading(_) = &self.state else { return false };
         if !self.caller.may_repeat() {
@@ -202,9 +207,9 @@
         true
     }
 
-    fn go_on(&mut self, begun: Begun<E>) {
+    fn on_resumed(&mut self, begun: Begun<E>) {
         self.silent_until = self.caller.hang_deadline();
-        self.alarm.as_mut().reset(self.silent_until);
+        self.timer.as_mut().reset(self.silent_until);
         let Begun { body, connection, ticket, .. } = begun;
         self.state = State::Reading(Source { body, connection, ticket });
     }
@@ -217,7 +222,8 @@
         }
     }
 
-    fn break_off(&mut self, end: SendEnd) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    /// Aborts the response to the caller, and records how the attempt ended.
+    fn abort(&mut self, end: SendEnd) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
         let is_overdue = end == SendEnd::Cancelled;
         let code = if is_overdue { Code::AnswerTimeout } else { Code::AnswerBroken };
         self.caller.tell_broken_off(code);
