--- a/src/kingcupgrade/transport/gateway/serve.rs
+++ b/src/kingcupgrade/transport/gateway/serve.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Connections from callers, and the readiness probes of the load balancer.
 
 use std::{convert::Infallible, rc::Rc, time::Duration};
 
@@ -24,30 +24,34 @@
     util::log,
 };
 
-/// Bytes read ahead of a caller's connection; more than any head that is allowed.
+/// The size of the read buffer of a caller's connection; larger than any permitted request head.
 const MAX_BUF_LEN: usize = 64 << 10;
-/// How long a connection may stay idle or take for a head while no configuration says so.
-const FIRST_IDLE_TIMEOUT: Millis = Millis(30_000);
-/// The longest body accepted while no configuration says so; such a request is refused anyway.
-const FIRST_MAX_BODY_LEN: usize = 4 << 20;
-/// The part of the sockets up to which callers' connections are kept open after an answer. Callers
-/// keep theirs for many seconds; with all sockets in use no new caller would be heard.
-const KEPT_PART: f64 = 0.4;
-/// Idle connections are kept this much longer than callers were told.
+/// The time-out for an idle connection and for reading a request head or body until a
+/// configuration is known.
+const DEFAULT_IDLE_TIMEOUT: Millis = Millis(30_000);
+/// The maximum length of a request body until a configuration is known; such a request is refused
+/// in any case.
+const DEFAULT_MAX_BODY_LEN: usize = 4 << 20;
+/// The fraction of the socket limit up to which callers' connections are kept open after a
+/// response. Callers keep idle connections for many seconds, and once all sockets are in use no new
+/// caller could connect.
+const KEEP_ALIVE_PART: f64 = 0.4;
+/// Idle connections are kept open this much longer than the time-out that callers know of.
 const IDLE_SLACK: Millis = Millis(1_000);
-/// How long a connection that is accepted while the others are being closed may take for its head;
-/// callers that connect send at once.
-const LATE_HEAD_TIMEOUT: Millis = Millis(500);
-/// The pause after a failed accept: it fails again at once while file descriptors are short.
+/// The time-out for the head of a request on a connection that is accepted while idle connections
+/// are being closed; callers send a request as soon as they have connected.
+const DRAIN_HEAD_TIMEOUT: Millis = Millis(500);
+/// The pause after a failed accept: without it, accepting would fail again at once for as long as
+/// the process is out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// When to come back to an entry that knows no configuration yet.
+/// The retry delay sent by an entry that has no configuration yet.
 const RETRY_AFTER_START: Millis = Millis(500);
 
-/// When to come back after an entry that is about to stop refused a request; other entries take it
-/// at once.
+/// The retry delay sent by an entry that is shutting down; another entry can take the request
+/// immediately.
 const RETRY_AFTER_DRAIN: Millis = Millis(50);
 
-/// Counts something for as long as it lives.
+/// Increments a counter for as long as the value lives.
 struct Counted<'a>(&'a std::cell::Cell<usize>);
 
 impl<'a> Counted<'a> {
@@ -63,7 +67,7 @@
     }
 }
 
-/// Accepts callers' connections until the entry is to listen no more.
+/// Accepts callers' connections until the shutdown reaches the stage that closes the listener.
 pub(super) async fn accept_callers<E: Edge>(
     gateway: Rc<Gateway<E>>,
     listener: TcpListener,
@@ -84,7 +88,7 @@
                     serve_connection(gateway, stream).await;
                 });
             }
-            // An entry that stopped accepting would go on looking healthy and answer nobody.
+            // An entry that stopped accepting would still look healthy but serve nobody.
             Err(err) => {
                 log::warning("accept-failed", &err.to_string());
                 sleep(ACCEPT_PAUSE).await;
@@ -94,14 +98,15 @@
 }
 
 async fn serve_connection<E: Edge>(gateway: Rc<Gateway<E>>, stream: TcpStream) {
-    // Without it an event waits for the one before to be acknowledged; it can only be slower.
+    // Nagle's algorithm would hold back an event until the previous one is acknowledged. A failure
+    // costs latency only.
     let _ = stream.set_nodelay(true);
     let _counted = Counted::new(&gateway.open_connections);
     let idle = gateway.traffic.borrow().configuration().map(|c| c.limits.idle_timeout);
-    let is_late = gateway.stage() >= DrainStage::Closing;
-    let idle = match is_late {
-        true => LATE_HEAD_TIMEOUT,
-        false => idle.unwrap_or(FIRST_IDLE_TIMEOUT) + IDLE_SLACK,
+    let is_closing = gateway.stage() >= DrainStage::Closing;
+    let idle = match is_closing {
+        true => DRAIN_HEAD_TIMEOUT,
+        false => idle.unwrap_or(DEFAULT_IDLE_TIMEOUT) + IDLE_SLACK,
     };
     let service = service_fn(|request| {
         let gateway = gateway.clone();
@@ -120,33 +125,34 @@
         .max_buf_size(MAX_BUF_LEN)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    if is_late {
-        // Shut down, the library would close it before its request is read.
+    if is_closing {
+        // A graceful shutdown would make hyper close the connection before it reads the request.
         let _ = connection.await;
         return;
     }
     let mut drain = gateway.drain.subscribe();
     let closing = drain.wait_for(|stage| *stage >= DrainStage::Closing);
     tokio::select! {
-        // A caller that broke off is told of where its request is served.
+        // A disconnected caller is logged where its request is handled.
         _ = connection.as_mut() => return,
         _ = closing => {}
     }
     connection.as_mut().graceful_shutdown();
-    // The same.
+    // Errors are ignored for the same reason as above.
     let _ = connection.await;
 }
 
-/// Returns whether a caller may keep its connection after an answer.
+/// Returns whether a caller may keep its connection open after a response.
 ///
-/// An entry that has more callers than it can carry parts with them: they come back to the entry
-/// that the balancer names then. One that is told to stop says so with each answer: a connection that it closes later may
-/// be closed just as its caller sends on it, and the caller has lost a try.
+/// An overloaded entry closes its callers' connections, so that they reconnect to the entry that
+/// the load balancer then selects. An entry that is shutting down announces the close with each
+/// response: if it closed the connection later, the close could cross with the caller's next
+/// request, and the caller would lose an attempt.
 fn may_keep_connection<E: Edge>(gateway: &Gateway<E>) -> bool {
-    let kept = gateway.settings.max_sockets as f64 * KEPT_PART;
+    let max_kept = gateway.settings.max_sockets as f64 * KEEP_ALIVE_PART;
     gateway.stage() == DrainStage::Serving
         && !gateway.overload.get().is_full()
-        && gateway.open_connections.get() as f64 <= kept
+        && gateway.open_connections.get() as f64 <= max_kept
 }
 
 async fn serve_one<E: Edge>(
@@ -180,12 +186,12 @@
     }
 }
 
-/// Reads a request's body whole: it may have to be sent more than once.
+/// Reads a request's body into memory, because it may have to be sent more than once.
 async fn read_body(body: Incoming, limits: Option<&Limits>) -> Result<Bytes, Code> {
-    let most = limits.map_or(FIRST_MAX_BODY_LEN, |limits| limits.max_body_len);
-    let span = limits.map_or(FIRST_IDLE_TIMEOUT, |limits| limits.idle_timeout);
-    let reading = Limited::new(body, most).collect();
-    match timeout(span.as_duration(), reading).await {
+    let max_len = limits.map_or(DEFAULT_MAX_BODY_LEN, |limits| limits.max_body_len);
+    let read_timeout = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
+    let reading = Limited::new(body, max_len).collect();
+    match timeout(read_timeout.as_duration(), reading).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(err)) if err.is::<LengthLimitError>() => Err(Code::BodyTooLarge),
         Ok(Err(_)) => Err(Code::BadRequest),
@@ -193,7 +199,7 @@
     }
 }
 
-/// Answers the balancer's questions for good.
+/// Serves the load balancer's readiness probes for as long as the process runs.
 pub(super) async fn accept_probes<E: Edge>(
     gateway: Rc<Gateway<E>>,
     listener: TcpListener,
@@ -213,8 +219,8 @@
 
 async fn serve_probes<E: Edge>(gateway: Rc<Gateway<E>>, stream: TcpStream) {
     let service = service_fn(|request: Request<Incoming>| {
-        let is_known = gateway.edge.is_ready_path(request.uri().path());
-        let status = match (is_known, gateway.is_ready()) {
+        let is_ready_path = gateway.edge.is_ready_path(request.uri().path());
+        let status = match (is_ready_path, gateway.is_ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -225,8 +231,8 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(FIRST_IDLE_TIMEOUT.as_duration())
+        .header_read_timeout(DEFAULT_IDLE_TIMEOUT.as_duration())
         .serve_connection(TokioIo::new(stream), service);
-    // The balancer asks again.
+    // Errors are ignored because the load balancer probes again.
     let _ = connection.await;
 }
