--- a/src/kingcupgrade/transport/gateway/caller/exchange.rs
+++ b/src/kingcupgrade/transport/gateway/caller/exchange.rs
@@ -1,4 +1,4 @@
-//! Sending a request once, and what its answer's head says about it.
+//! A single attempt to send a request, and the evaluation of the response head.
 
 use std::time::Duration;
 
@@ -20,36 +20,43 @@
     util::log,
 };
 
-/// Kept connections tried before a new one is made: each may have been closed meanwhile.
+/// The number of connections tried per attempt, as each pooled one may turn out to be stale: closed
+/// by the upstream before any byte of the request was written.
 const MAX_STALE: usize = 3;
-/// Bytes of a rejection read to keep its connection.
+/// The maximum length in bytes of a rejection that is read so that its connection can be reused.
 const MAX_REJECTION_LEN: usize = 64 << 10;
-/// How long reading a rejection may take.
+/// The time-out for reading a rejection.
 const REJECTION_TIMEOUT: Millis = Millis(100);
 
-/// What became of sending a request once.
+/// The result of one attempt to send a request.
 pub(super) enum SendResult<E: Edge> {
-    /// An answer has begun.
-    Begun(Box<Begun<E>>),
-    /// Nothing was sent.
+    /// The head of an acceptable response has arrived.
+    Response(Box<Begun<E>>),
+    /// No byte of the request was sent.
     NotSent,
-    /// The upstream says that it did not run the request.
+    /// The upstream stated that it did not run the request.
     Rejected,
-    /// It was sent, and nothing is known of it.
+    /// The request was sent, and it is unknown whether it ran.
     Unknown,
-    /// It was sent, and no answer came in time.
-    Silent,
+    /// The request was sent, and no response arrived in time.
+    TimedOut,
 }
 
-/// What became of a request on one connection.
-enum Exchange {
+/// The result of sending a request on one connection.
+enum ExchangeResult {
+    /// The upstream had closed the connection, and no byte was written.
     Stale,
-    Answer(Box<(http::response::Parts, Incoming, Connection)>),
+    /// The response head has arrived.
+    Response(Box<(http::response::Parts, Incoming, Connection)>),
+    /// The connection failed after bytes of the request were written.
     Broken,
-    Silent,
+    /// No response arrived in time.
+    TimedOut,
 }
 
 impl<E: Edge> Caller<E> {
+    /// Sends the request to the granted upstream, asking for a resumption after `last_event` if
+    /// set.
     pub(super) async fn send_once(
         &self,
         grant: &Grant,
@@ -71,20 +78,20 @@
                 }
             };
             match self.send_on(connection, grant, last_event).await {
-                Exchange::Stale => {}
-                Exchange::Answer(answer) => {
+                ExchangeResult::Stale => {}
+                ExchangeResult::Response(answer) => {
                     let (head, body, connection) = *answer;
-                    return self.judge(head, body, connection, ticket, grant).await;
+                    return self.evaluate_head(head, body, connection, ticket, grant).await;
                 }
-                Exchange::Broken => {
+                ExchangeResult::Broken => {
                     self.progress.borrow_mut().attempts += 1;
                     ticket.end(SendEnd::Broken);
                     return SendResult::Unknown;
                 }
-                Exchange::Silent => {
+                ExchangeResult::TimedOut => {
                     self.progress.borrow_mut().attempts += 1;
                     ticket.end(SendEnd::Broken);
-                    return SendResult::Silent;
+                    return SendResult::TimedOut;
                 }
             }
         }
@@ -97,24 +104,24 @@
         mut connection: Connection,
         grant: &Grant,
         last_event: Option<u64>,
-    ) -> Exchange {
-        let request = self.request(grant, last_event);
+    ) -> ExchangeResult {
+        let request = self.build_request(grant, last_event);
         let sending = connection.sender.try_send_request(request);
         match timeout_at(self.hang_deadline(), connection.drive(sending)).await {
             Ok(Ok(response)) => {
                 let (head, body) = response.into_parts();
-                Exchange::Answer(Box::new((head, body, connection)))
+                ExchangeResult::Response(Box::new((head, body, connection)))
             }
-            // The library hands the request back if no byte of it was written.
+            // hyper returns the request with the error if no byte of it was written.
             Ok(Err(mut err)) => match err.take_message() {
-                Some(_) => Exchange::Stale,
-                None => Exchange::Broken,
+                Some(_) => ExchangeResult::Stale,
+                None => ExchangeResult::Broken,
             },
-            Err(_) => Exchange::Silent,
+            Err(_) => ExchangeResult::TimedOut,
         }
     }
 
-    fn request(&self, grant: &Grant, last_event: Option<u64>) -> Request<Full<Bytes>> {
+    fn build_request(&self, grant: &Grant, last_event: Option<u64>) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         strip_hop_headers(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
@@ -133,8 +140,8 @@
         request
     }
 
-    /// Decides what an answer's head says about the request.
-    async fn judge(
+    /// Determines from the response head what became of the request.
+    async fn evaluate_head(
         &self,
         head: http::response::Parts,
         body: Incoming,
@@ -159,26 +166,27 @@
         if answer.is_not_run || answer.is_elsewhere {
             let end = if answer.is_elsewhere { SendEnd::Replaced } else { SendEnd::Rejected };
             ticket.end(end);
-            self.keep_after_rejection(body, connection).await;
+            self.drain_rejection(body, connection).await;
             return SendResult::Rejected;
         }
-        // A success that nobody vouches for, or a promise "not run" that the upstream did not
-        // give, would mislead the caller.
-        let is_promise = matches!(
+        // A success without the upstream's seal would mislead the caller, and so would a status
+        // that implies that the request did not run although the upstream did not state that.
+        let implies_not_run = matches!(
             head.status,
             StatusCode::SERVICE_UNAVAILABLE
                 | StatusCode::TOO_MANY_REQUESTS
                 | StatusCode::REQUEST_TIMEOUT
                 | StatusCode::MISDIRECTED_REQUEST
         );
-        if (head.status.is_success() && !answer.is_sealed) || is_promise {
+        if (head.status.is_success() && !answer.is_sealed) || implies_not_run {
             ticket.end(SendEnd::Broken);
             return SendResult::Unknown;
         }
-        SendResult::Begun(Box::new(Begun { head, body, connection, ticket }))
+        SendResult::Response(Box::new(Begun { head, body, connection, ticket }))
     }
 
-    async fn keep_after_rejection(&self, body: Incoming, mut connection: Connection) {
+    /// Reads the body of a rejection, and returns the connection to the pool if that succeeds.
+    async fn drain_rejection(&self, body: Incoming, mut connection: Connection) {
         let reading = connection.drive(Limited::new(body, MAX_REJECTION_LEN).collect());
         if let Ok(Ok(_)) = timeout(REJECTION_TIMEOUT.as_duration(), reading).await {
             self.gateway.pool.give_back(connection);
@@ -186,7 +194,8 @@
     }
 }
 
-/// Returns how long an upstream keeps an idle connection, if it says so.
+/// Returns how long the upstream keeps an idle connection open according to its `Keep-Alive`
+/// header.
 fn keep_alive_of(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/src/kingcupgrade/transport/gateway/caller/mod.rs
+++ b/src/kingcupgrade/transport/gateway/caller/mod.rs
@@ -273,7 +273,7 @@
             };
             self.tell_placed(&grant);
             match self.send_once(&grant, ticket, last_event).await {
-                SendResult::Begun(begun) => return Ok(*begun),
+                SendResult::Response(begun) => return Ok(*begun),
                 SendResult::NotSent => {
                     let mut progress = self.progress.borrow_mut();
                     progress.avoid.push(grant.upstream);
@@ -295,7 +295,7 @@
                     }
                     may_have_run = true;
                 }
-                SendResult::Silent => {
+                SendResult::TimedOut => {
                     self.progress.borrow_mut().avoid.push(grant.upstream);
                     if Instant::now() >= self.deadline || !self.may_repeat() {
                         return Err((Code::AnswerTimeout, Millis::ZERO));
@@ -306,8 +306,8 @@
         }
     }
 
-    /// Returns whether a request that surely did not run may be sent to another upstream; its arrival
-    /// counts as a repeat all the same.
+    /// Returns whether a request that surely did not run may be sent to another upstream; its
+    /// arrival counts as a repeat all the same.
     fn may_send_after_rejection(&self) -> bool {
         let attempts = self.progress.borrow().attempts;
         attempts < self.route.max_attempts.max(2)
