--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -5,7 +5,6 @@
 //! the processor; scheduling decisions are direct calls of [`Traffic`], without messages or locks.
 
 mod answer;
-mod caller;
 pub mod course;
 mod decisions;
 pub mod edge;
@@ -13,6 +12,7 @@
 mod listing;
 pub mod pool;
 mod relay;
+mod request;
 mod scheduling_delay;
 mod serve;
 
--- a/src/kingcupgrade/transport/gateway/relay.rs
+++ b/src/kingcupgrade/transport/gateway/relay.rs
@@ -15,10 +15,10 @@
 
 use super::{
     answer::BrokenOff,
-    caller::{Begun, Caller, Ticket},
     edge::Edge,
     events::EventCutter,
     pool::Connection,
+    request::{AttemptGuard, ProxiedRequest, UpstreamResponse},
 };
 use crate::{
     coordination::traffic::SendEnd,
@@ -41,11 +41,11 @@
 struct Source<E: Edge> {
     body: Incoming,
     connection: Connection,
-    ticket: Ticket<E>,
+    attempt: AttemptGuard<E>,
 }
 
 /// Obtains a response from another upstream; `None` if the stream can't be resumed.
-type Resuming<E> = Pin<Box<dyn Future<Output = Option<Begun<E>>>>>;
+type Resuming<E> = Pin<Box<dyn Future<Output = Option<UpstreamResponse<E>>>>>;
 
 enum State<E: Edge> {
     Reading(Source<E>),
@@ -55,7 +55,7 @@
 
 /// A streamed response that is being forwarded to its caller.
 pub(super) struct Relay<E: Edge> {
-    caller: Rc<Caller<E>>,
+    request: Rc<ProxiedRequest<E>>,
     state: State<E>,
     cutter: EventCutter,
     /// The id of the last event forwarded.
@@ -72,22 +72,22 @@
 
 impl<E: Edge> Relay<E> {
     pub(super) fn new(
-        caller: Rc<Caller<E>>,
+        request: Rc<ProxiedRequest<E>>,
         body: Incoming,
         connection: Connection,
-        ticket: Ticket<E>,
+        attempt: AttemptGuard<E>,
     ) -> Relay<E> {
-        let silent_until = caller.hang_deadline();
+        let silent_until = request.hang_deadline();
         Relay {
-            state: State::Reading(Source { body, connection, ticket }),
+            state: State::Reading(Source { body, connection, attempt }),
             cutter: EventCutter::default(),
             last_id: None,
             last_event: None,
             longest_pause: Duration::ZERO,
-            abort_at: caller.deadline + ABORT_SLACK,
+            abort_at: request.deadline + ABORT_SLACK,
             timer: Box::pin(sleep_until(silent_until)),
             silent_until,
-            caller,
+            request,
         }
     }
 
@@ -106,8 +106,8 @@
             let polled = match &mut self.state {
                 State::Ended => return Poll::Ready(None),
                 State::Resuming(resuming) => match resuming.as_mut().poll(cx) {
-                    Poll::Ready(Some(begun)) => {
-                        self.on_resumed(begun);
+                    Poll::Ready(Some(response)) => {
+                        self.on_resumed(response);
                         continue;
                     }
                     Poll::Ready(None) => return self.abort(SendEnd::Broken),
@@ -150,14 +150,14 @@
         let events = self.cutter.push(data)?;
         self.last_id = events.last_id.or(self.last_id);
         if let State::Reading(source) = &self.state {
-            source.ticket.on_events(events.count * self.caller.stride);
+            source.attempt.on_events(events.count * self.request.stride);
         }
         let now = Instant::now();
         match self.last_event.replace(now) {
             Some(previous) => self.longest_pause = self.longest_pause.max(now - previous),
-            None => self.caller.on_first_byte(),
+            None => self.request.on_first_byte(),
         }
-        let gap = self.caller.route.max_gap.0 * MAX_SILENT_GAPS;
+        let gap = self.request.route.max_gap.0 * MAX_SILENT_GAPS;
         let silence = Duration::from_millis(gap.max(MIN_SILENCE_MS));
         self.silent_until = self.abort_at.min(now + silence);
         Some(events.bytes)
@@ -175,7 +175,7 @@
                 return self.abort(SendEnd::Cancelled);
             }
             let can_resume = matches!(
-                (&self.state, self.caller.route.kind),
+                (&self.state, self.request.route.kind),
                 (State::Reading(_), RouteKind::Stream { resumable: true })
             );
             if now >= self.silent_until && can_resume && self.resume() {
@@ -191,34 +191,34 @@
     /// Starts to resume the stream at another upstream; returns whether that is permitted.
     fn resume(&mut self) -> bool {
         let State::Reading(_) = &self.state else { return false };
-        if !self.caller.may_repeat() {
+        if !self.request.may_repeat() {
             return false;
         }
         self.cutter = EventCutter::default();
         if let State::Reading(source) = std::mem::replace(&mut self.state, State::Ended) {
-            source.ticket.end(SendEnd::Broken);
+            source.attempt.end(SendEnd::Broken);
         }
-        let caller = self.caller.clone();
+        let request = self.request.clone();
         let last_id = self.last_id;
         self.state = State::Resuming(Box::pin(async move {
-            let begun = caller.obtain(last_id).await.ok()?;
-            begun.head.status.is_success().then_some(begun)
+            let response = request.obtain(last_id).await.ok()?;
+            response.head.status.is_success().then_some(response)
         }));
         true
     }
 
-    fn on_resumed(&mut self, begun: Begun<E>) {
-        self.silent_until = self.caller.hang_deadline();
+    fn on_resumed(&mut self, response: UpstreamResponse<E>) {
+        self.silent_until = self.request.hang_deadline();
         self.timer.as_mut().reset(self.silent_until);
-        let Begun { body, connection, ticket, .. } = begun;
-        self.state = State::Reading(Source { body, connection, ticket });
+        let UpstreamResponse { body, connection, attempt, .. } = response;
+        self.state = State::Reading(Source { body, connection, attempt });
     }
 
     fn finish(&mut self) {
         if let State::Reading(source) = std::mem::replace(&mut self.state, State::Ended) {
-            source.ticket.end(SendEnd::Answered);
-            self.caller.tell_answered(Millis(self.longest_pause.as_millis() as u64));
-            self.caller.gateway.pool.give_back(source.connection);
+            source.attempt.end(SendEnd::Answered);
+            self.request.report_answered(Millis(self.longest_pause.as_millis() as u64));
+            self.request.gateway.pool.give_back(source.connection);
         }
     }
 
@@ -226,9 +226,9 @@
     fn abort(&mut self, end: SendEnd) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
         let is_overdue = end == SendEnd::Cancelled;
         let code = if is_overdue { Code::AnswerTimeout } else { Code::AnswerBroken };
-        self.caller.tell_broken_off(code);
+        self.request.report_truncated(code);
         if let State::Reading(source) = std::mem::replace(&mut self.state, State::Ended) {
-            source.ticket.end(end);
+            source.attempt.end(end);
         }
         Poll::Ready(Some(Err(BrokenOff)))
     }
--- a/src/kingcupgrade/transport/gateway/caller/ticket.rs
+++ b/src/kingcupgrade/transport/gateway/request/attempt.rs
@@ -1,4 +1,4 @@
-//! A request's place in the decisions.
+//! Registration of an attempt to serve a request with the scheduler.
 
 use std::rc::Rc;
 
@@ -10,21 +10,22 @@
     transport::gateway::{Gateway, edge::Edge, pool::Connection},
 };
 
-/// Names the request's place in the decisions for as long as it waits or runs.
-pub(in crate::transport::gateway) struct Ticket<E: Edge> {
+/// Keeps an attempt registered with the scheduler while it is queued or running; dropping the guard
+/// cancels the attempt.
+pub(in crate::transport::gateway) struct AttemptGuard<E: Edge> {
     gateway: Rc<Gateway<E>>,
     pub(super) no: RequestNo,
     is_open: bool,
 }
 
-impl<E: Edge> Ticket<E> {
-    pub(super) fn new(gateway: Rc<Gateway<E>>) -> Ticket<E> {
+impl<E: Edge> AttemptGuard<E> {
+    pub(super) fn new(gateway: Rc<Gateway<E>>) -> AttemptGuard<E> {
         let no = gateway.next_request.get();
         gateway.next_request.set(no + 1);
-        Ticket { gateway, no, is_open: true }
+        AttemptGuard { gateway, no, is_open: true }
     }
 
-    /// Tells how the request ended.
+    /// Reports how the attempt ended.
     pub(in crate::transport::gateway) fn end(mut self, end: SendEnd) {
         self.close(end);
     }
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Reports events that have arrived, and the number of tokens in them.
     pub(in crate::transport::gateway) fn on_events(&self, tokens: u32) {
         let now = self.gateway.now();
         let mut traffic = self.gateway.traffic.borrow_mut();
@@ -46,7 +48,7 @@
     }
 }
 
-impl<E: Edge> Drop for Ticket<E> {
+impl<E: Edge> Drop for AttemptGuard<E> {
     fn drop(&mut self) {
         if self.is_open {
             self.gateway.traffic.borrow_mut().forget(self.no);
@@ -56,10 +58,10 @@
     }
 }
 
-/// An answer that has begun.
-pub(in crate::transport::gateway) struct Begun<E: Edge> {
+/// An upstream's response of which the head has arrived.
+pub(in crate::transport::gateway) struct UpstreamResponse<E: Edge> {
     pub(in crate::transport::gateway) head: http::response::Parts,
     pub(in crate::transport::gateway) body: Incoming,
     pub(in crate::transport::gateway) connection: Connection,
-    pub(in crate::transport::gateway) ticket: Ticket<E>,
+    pub(in crate::transport::gateway) attempt: AttemptGuard<E>,
 }
--- a/src/kingcupgrade/transport/gateway/caller/exchange.rs
+++ b/src/kingcupgrade/transport/gateway/request/exchange.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use tokio::time::{timeout, timeout_at};
 
-use super::{Begun, Caller, Ticket};
+use super::{AttemptGuard, ProxiedRequest, UpstreamResponse};
 use crate::{
     coordination::traffic::{Grant, SendEnd},
     core::Millis,
@@ -31,7 +31,7 @@
 /// The result of one attempt to send a request.
 pub(super) enum SendResult<E: Edge> {
     /// The head of an acceptable response has arrived.
-    Response(Box<Begun<E>>),
+    Response(Box<UpstreamResponse<E>>),
     /// No byte of the request was sent.
     NotSent,
     /// The upstream stated that it did not run the request.
@@ -54,13 +54,13 @@
     TimedOut,
 }
 
-impl<E: Edge> Caller<E> {
+impl<E: Edge> ProxiedRequest<E> {
     /// Sends the request to the granted upstream, asking for a resumption after `last_event` if
     /// set.
     pub(super) async fn send_once(
         &self,
         grant: &Grant,
-        ticket: Ticket<E>,
+        attempt: AttemptGuard<E>,
         last_event: Option<u64>,
     ) -> SendResult<E> {
         for _ in 0..MAX_STALE {
@@ -73,7 +73,7 @@
                         NoConnection::Full => SendEnd::Cancelled,
                         NoConnection::Unreachable => SendEnd::Unreachable,
                     };
-                    ticket.end(end);
+                    attempt.end(end);
                     return SendResult::NotSent;
                 }
             };
@@ -81,21 +81,21 @@
                 ExchangeResult::Stale => {}
                 ExchangeResult::Response(answer) => {
                     let (head, body, connection) = *answer;
-                    return self.evaluate_head(head, body, connection, ticket, grant).await;
+                    return self.evaluate_head(head, body, connection, attempt, grant).await;
                 }
                 ExchangeResult::Broken => {
                     self.progress.borrow_mut().attempts += 1;
-                    ticket.end(SendEnd::Broken);
+                    attempt.end(SendEnd::Broken);
                     return SendResult::Unknown;
                 }
                 ExchangeResult::TimedOut => {
                     self.progress.borrow_mut().attempts += 1;
-                    ticket.end(SendEnd::Broken);
+                    attempt.end(SendEnd::Broken);
                     return SendResult::TimedOut;
                 }
             }
         }
-        ticket.end(SendEnd::Unreachable);
+        attempt.end(SendEnd::Unreachable);
         SendResult::NotSent
     }
 
@@ -146,7 +146,7 @@
         head: http::response::Parts,
         body: Incoming,
         mut connection: Connection,
-        ticket: Ticket<E>,
+        attempt: AttemptGuard<E>,
         grant: &Grant,
     ) -> SendResult<E> {
         let answer = self.gateway.edge.read_answer(&head);
@@ -160,12 +160,12 @@
         if answer.request_id != self.request_id {
             let (asked, answered) = (&self.request_id, &answer.request_id);
             log::warning("answer-of-another-request", &(&grant.upstream, asked, answered));
-            ticket.end(SendEnd::Broken);
+            attempt.end(SendEnd::Broken);
             return SendResult::Unknown;
         }
         if answer.is_not_run || answer.is_elsewhere {
             let end = if answer.is_elsewhere { SendEnd::Replaced } else { SendEnd::Rejected };
-            ticket.end(end);
+            attempt.end(end);
             self.drain_rejection(body, connection).await;
             return SendResult::Rejected;
         }
@@ -179,10 +179,10 @@
                 | StatusCode::MISDIRECTED_REQUEST
         );
         if (head.status.is_success() && !answer.is_sealed) || implies_not_run {
-            ticket.end(SendEnd::Broken);
+            attempt.end(SendEnd::Broken);
             return SendResult::Unknown;
         }
-        SendResult::Response(Box::new(Begun { head, body, connection, ticket }))
+        SendResult::Response(Box::new(UpstreamResponse { head, body, connection, attempt }))
     }
 
     /// Reads the body of a rejection, and returns the connection to the pool if that succeeds.
--- a/src/kingcupgrade/transport/gateway/caller/mod.rs
+++ b/src/kingcupgrade/transport/gateway/request/mod.rs
@@ -1,8 +1,8 @@
-//! One caller's request: waiting for a place, sending, and what follows from each answer.
+//! A caller's request: queueing, sending to an upstream, and retries.
 
+mod attempt;
 mod exchange;
-mod telling;
-mod ticket;
+mod reporting;
 
 use std::{rc::Rc, sync::Arc};
 
@@ -15,8 +15,8 @@
     time::{Instant, timeout_at},
 };
 
+pub(super) use self::attempt::{AttemptGuard, UpstreamResponse};
 use self::exchange::SendResult;
-pub(super) use self::ticket::{Begun, Ticket};
 use super::{
     Gateway,
     answer::{AnswerBody, strip_hop_headers},
@@ -31,22 +31,25 @@
     },
 };
 
-/// How long a caller is taken to wait if it doesn't say.
-const DEFAULT_PATIENCE: Millis = Millis(30_000);
-/// Sends that reached nobody before a request is given up; each is to another upstream.
+/// The time-out of a request whose caller states none.
+const DEFAULT_TIMEOUT: Millis = Millis(30_000);
+/// The number of upstreams to which sending may fail before any byte is written; then the request
+/// is refused.
 const MAX_UNSENT: u32 = 4;
-/// Bytes of an answer that is not streamed; larger ones are refused rather than held.
+/// The maximum length in bytes of a response that is not streamed; a longer one is treated as
+/// broken rather than held in memory.
 const MAX_ANSWER_LEN: usize = 16 << 20;
-/// An idempotent request not answered within this many times its target goes elsewhere: by then
-/// the upstream more likely hangs than works.
+/// An idempotent request is sent to another upstream if there is no response within this many times
+/// its target: by then the upstream is more likely to hang than to be working.
 const HANG_TARGETS: u64 = 2;
-/// Never sooner than this, in milliseconds: the tail of ordinary work.
+/// The minimum of that time: ordinary requests in the tail of the latency distribution take as
+/// long.
 const MIN_HANG: Millis = Millis(150);
-/// When to come back after an upstream refused a request before it ran.
+/// The retry delay sent after upstreams rejected a request or could not be reached.
 const RETRY_AFTER_REJECTED: Millis = Millis(500);
 
-/// What one caller asked, and how far it has come.
-pub(super) struct Caller<E: Edge> {
+/// A caller's request and the state of its processing.
+pub(super) struct ProxiedRequest<E: Edge> {
     pub(super) gateway: Rc<Gateway<E>>,
     request_id: Option<String>,
     method: Method,
@@ -58,51 +61,57 @@
     service: Service,
     organisation: Option<Organisation>,
     prompt: Arc<[PromptPart]>,
+    /// The expected number of tokens to be generated.
     output: u32,
+    /// The number of tokens in one event of the response.
     pub(super) stride: u32,
     arrived: Millis,
+    /// When the first byte of the response is due.
     target: Millis,
     pub(super) deadline: Instant,
+    /// The deadline by the process's clock.
     deadline_at: Millis,
     progress: std::cell::RefCell<Progress>,
 }
 
-/// What was tried so far.
+/// The attempts so far and their times.
 #[derive(Default)]
 struct Progress {
+    /// Upstreams to which sending was attempted without success.
     avoid: Vec<UpstreamName>,
-    /// Upstreams the request arrived at.
+    /// The number of upstreams that received the request.
     attempts: u32,
+    /// The number of attempts that failed before any byte was sent.
     unsent: u32,
-    /// How long it waited for places.
+    /// The total time spent in the queue.
     queued: Millis,
-    /// Where it was sent last before its first byte came.
+    /// The last attempt before the first byte arrived.
     sent: Option<LastSend>,
-    /// When its first byte came: of a stream the first event's, otherwise the answer's end.
+    /// When the first event of a stream arrived, or the end of a response that is not streamed.
     first_byte: Option<Millis>,
 }
 
-/// Where and when a request was sent, and what was expected then.
+/// The upstream and time of an attempt.
 struct LastSend {
     upstream: UpstreamName,
     at: Millis,
-    /// After how long the first byte was expected; zero where nothing was.
+    /// The expected time to the first byte; zero if there was no estimate.
     expected: Millis,
 }
 
-impl<E: Edge> Caller<E> {
-    /// Finds a request's route and organisation.
+impl<E: Edge> ProxiedRequest<E> {
+    /// Determines the route, the organisation and the service of a request.
     ///
     /// # Errors
     ///
-    /// Returns the code to refuse it with.
+    /// Returns the code with which the request is to be refused.
     pub(super) fn new(
         gateway: Rc<Gateway<E>>,
         configuration: &Configuration,
         head: request::Parts,
         decoded: CallerHead,
         body: Bytes,
-    ) -> Result<Caller<E>, Code> {
+    ) -> Result<ProxiedRequest<E>, Code> {
         let host = host_of(&head).ok_or(Code::BadRequest)?;
         let route = configuration.route(host, head.uri.path()).ok_or(Code::UnknownService)?.clone();
         let holder = decoded.key.as_deref().and_then(|key| configuration.organisation_of(key));
@@ -115,7 +124,7 @@
         let plan = configuration.services.get(&service);
         let stride = plan.and_then(|plan| plan.engine.as_ref()).map_or(1, |engine| engine.stride);
         let arrived = gateway.now();
-        let patience = decoded.patience.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
+        let timeout = decoded.patience.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let mut traffic = gateway.traffic.borrow_mut();
         let output = match decoded.max_output {
             0 => 0,
@@ -123,8 +132,8 @@
         };
         traffic.on_request(arrived, &service);
         drop(traffic);
-        let target = route.target.min(patience);
-        Ok(Caller {
+        let target = route.target.min(timeout);
+        Ok(ProxiedRequest {
             request_id: decoded.request_id,
             method: head.method,
             uri: head.uri,
@@ -133,8 +142,8 @@
             route_name: route.name.as_str().into(),
             prompt: decoded.prompt.into(),
             target: arrived + target,
-            deadline: Instant::now() + patience.as_duration(),
-            deadline_at: arrived + patience,
+            deadline: Instant::now() + timeout.as_duration(),
+            deadline_at: arrived + timeout,
             progress: std::cell::RefCell::default(),
             gateway,
             route,
@@ -146,54 +155,61 @@
         })
     }
 
-    /// Returns whether the answer is a stream.
+    /// Returns whether the response is a stream.
     fn is_stream(&self) -> bool {
         matches!(self.route.kind, RouteKind::Stream { .. })
     }
 
-    /// Returns how long the request may take.
-    pub(super) fn patience(&self) -> Millis {
+    /// Returns the time from arrival to the deadline.
+    pub(super) fn timeout(&self) -> Millis {
         self.deadline_at.since(self.arrived)
     }
 
-    /// Refuses the request for want of this entry's processor time.
-    pub(super) fn turn_away(&self) -> Response<AnswerBody<E>> {
-        // Nothing is kept of it that its number would name.
+    /// Refuses the request because this entry is overloaded.
+    pub(super) fn shed(&self) -> Response<AnswerBody<E>> {
+        // The request isn't queued, so nothing is registered under its number.
         let demand = self.demand(0);
         let retry_after = self.gateway.traffic.borrow_mut().turn_away(self.arrived, &demand);
         self.refuse(Code::TooBusy, retry_after)
     }
 
-    /// Serves the request to its answer's head, or to its end where it is not streamed.
-    pub(super) async fn serve(self: Rc<Caller<E>>) -> Response<AnswerBody<E>> {
-        let begun = match self.obtain(None).await {
-            Ok(begun) => begun,
+    /// Returns the response: a streamed one as soon as its head has arrived, any other one once it
+    /// is complete.
+    pub(super) async fn serve(self: Rc<ProxiedRequest<E>>) -> Response<AnswerBody<E>> {
+        let response = match self.obtain(None).await {
+            Ok(response) => response,
             Err((code, retry_after)) => return self.refuse(code, retry_after),
         };
         let took = self.gateway.now().since(self.arrived);
         histogram!("kingcup_first_byte_ms").record(took.0 as f64);
         let number = Code::Done.number().to_string();
         counter!("kingcup_requests", "code" => number).increment(1);
-        if self.is_stream() && begun.head.status.is_success() {
-            return self.relay(begun);
+        if self.is_stream() && response.head.status.is_success() {
+            return self.relay(response);
         }
-        self.collect(begun).await
+        self.collect(response).await
     }
 
-    fn relay(self: Rc<Caller<E>>, begun: Begun<E>) -> Response<AnswerBody<E>> {
-        let mut head = begun.head;
+    fn relay(
+        self: Rc<ProxiedRequest<E>>,
+        response: UpstreamResponse<E>,
+    ) -> Response<AnswerBody<E>> {
+        let mut head = response.head;
         strip_hop_headers(&mut head.headers);
         head.version = http::Version::HTTP_11;
-        let relay = Relay::new(self, begun.body, begun.connection, begun.ticket);
+        let relay = Relay::new(self, response.body, response.connection, response.attempt);
         Response::from_parts(head, AnswerBody::Streamed(Box::new(relay)))
     }
 
-    /// Reads an answer whole before anything of it is passed on, so that one that breaks off can
-    /// be asked for again or be told as such.
-    async fn collect(self: Rc<Caller<E>>, first: Begun<E>) -> Response<AnswerBody<E>> {
-        let mut begun = first;
+    /// Reads a response to the end before forwarding any of it, so that if it breaks off the
+    /// request can be retried or refused with an error.
+    async fn collect(
+        self: Rc<ProxiedRequest<E>>,
+        first: UpstreamResponse<E>,
+    ) -> Response<AnswerBody<E>> {
+        let mut response = first;
         loop {
-            let Begun { head, body, mut connection, ticket } = begun;
+            let UpstreamResponse { head, body, mut connection, attempt } = response;
             let reading = connection.drive(Limited::new(body, MAX_ANSWER_LEN).collect());
             let read = timeout_at(self.deadline, reading).await;
             let may_repeat = self.route.kind.is_idempotent();
@@ -202,45 +218,46 @@
                     let is_failure = head.status.is_server_error();
                     if !is_failure {
                         self.on_first_byte();
-                        self.tell_answered(Millis::ZERO);
+                        self.report_answered(Millis::ZERO);
                     }
-                    ticket.end(if is_failure { SendEnd::Failed } else { SendEnd::Answered });
+                    attempt.end(if is_failure { SendEnd::Failed } else { SendEnd::Answered });
                     self.gateway.pool.give_back(connection);
-                    return whole(head, body.to_bytes());
+                    return complete_response(head, body.to_bytes());
                 }
                 Ok(Ok(body)) => {
-                    ticket.end(SendEnd::Failed);
+                    attempt.end(SendEnd::Failed);
                     self.gateway.pool.give_back(connection);
                     match self.obtain_again().await {
-                        Some(again) => begun = again,
-                        None => return whole(head, body.to_bytes()),
+                        Some(again) => response = again,
+                        None => return complete_response(head, body.to_bytes()),
                     }
                 }
                 Ok(Err(_)) => {
-                    ticket.end(SendEnd::Broken);
+                    attempt.end(SendEnd::Broken);
                     drop(connection);
                     match self.obtain_again().await {
-                        Some(again) => begun = again,
+                        Some(again) => response = again,
                         None => return self.refuse(Code::AnswerBroken, Millis::ZERO),
                     }
                 }
                 Err(_) => {
-                    ticket.end(SendEnd::Broken);
+                    attempt.end(SendEnd::Broken);
                     return self.refuse(Code::AnswerTimeout, Millis::ZERO);
                 }
             }
         }
     }
 
-    /// Sends an idempotent request again, if it may be.
-    async fn obtain_again(self: &Rc<Caller<E>>) -> Option<Begun<E>> {
+    /// Retries the request if that is permitted.
+    async fn obtain_again(self: &Rc<ProxiedRequest<E>>) -> Option<UpstreamResponse<E>> {
         if !self.may_repeat() {
             return None;
         }
         self.obtain(None).await.ok()
     }
 
-    /// Returns whether a request that may have run may be sent again, and spends a repeat for it.
+    /// Returns whether a request that may have run may be sent again; if so, takes the repeat from
+    /// the retry budget.
     pub(super) fn may_repeat(&self) -> bool {
         let attempts = self.progress.borrow().attempts;
         self.route.kind.is_idempotent()
@@ -249,43 +266,43 @@
             && self.gateway.traffic.borrow_mut().try_repeat(self.gateway.now(), &self.service)
     }
 
-    /// Waits for a place and sends, again and again as far as that is allowed, until an answer
-    /// begins.
+    /// Queues and sends the request, retrying as far as permitted, until the head of a response
+    /// arrives.
     ///
     /// # Errors
     ///
-    /// Returns why the request is given up, and when to come back.
+    /// Returns the code with which to refuse the request, and the retry delay.
     pub(super) async fn obtain(
-        self: &Rc<Caller<E>>,
+        self: &Rc<ProxiedRequest<E>>,
         last_event: Option<u64>,
-    ) -> Result<Begun<E>, (Code, Millis)> {
+    ) -> Result<UpstreamResponse<E>, (Code, Millis)> {
         // Whether an earlier attempt may have run.
         let mut may_have_run = self.progress.borrow().attempts > 0;
         loop {
-            let ticket = Ticket::new(self.gateway.clone());
-            let given_up = |code: Code, retry_after| {
-                // "Not run" would not be true any more.
+            let attempt = AttemptGuard::new(self.gateway.clone());
+            let error = |code: Code, retry_after| {
+                // `code` states that the request did not run; that may not be true any more.
                 if may_have_run { (Code::AnswerBroken, Millis::ZERO) } else { (code, retry_after) }
             };
-            let grant = match self.await_verdict(&ticket).await {
+            let grant = match self.await_verdict(&attempt).await {
                 Verdict::Start(grant) => grant,
-                Verdict::Refuse { code, retry_after } => return Err(given_up(code, retry_after)),
+                Verdict::Refuse { code, retry_after } => return Err(error(code, retry_after)),
             };
-            self.tell_placed(&grant);
-            match self.send_once(&grant, ticket, last_event).await {
-                SendResult::Response(begun) => return Ok(*begun),
+            self.report_placed(&grant);
+            match self.send_once(&grant, attempt, last_event).await {
+                SendResult::Response(response) => return Ok(*response),
                 SendResult::NotSent => {
                     let mut progress = self.progress.borrow_mut();
                     progress.avoid.push(grant.upstream);
                     progress.unsent += 1;
                     if progress.unsent >= MAX_UNSENT {
-                        return Err(given_up(Code::NoUpstream, RETRY_AFTER_REJECTED));
+                        return Err(error(Code::NoUpstream, RETRY_AFTER_REJECTED));
                     }
                 }
                 SendResult::Rejected => {
                     self.progress.borrow_mut().avoid.push(grant.upstream);
                     if !self.may_send_after_rejection() {
-                        return Err(given_up(Code::UpstreamRefused, RETRY_AFTER_REJECTED));
+                        return Err(error(Code::UpstreamRefused, RETRY_AFTER_REJECTED));
                     }
                 }
                 SendResult::Unknown => {
@@ -306,8 +323,8 @@
         }
     }
 
-    /// Returns whether a request that surely did not run may be sent to another upstream; its
-    /// arrival counts as a repeat all the same.
+    /// Returns whether a request that is known not to have run may be sent to another upstream; the
+    /// attempt is taken from the retry budget nevertheless.
     fn may_send_after_rejection(&self) -> bool {
         let attempts = self.progress.borrow().attempts;
         attempts < self.route.max_attempts.max(2)
@@ -330,14 +347,15 @@
         }
     }
 
-    async fn await_verdict(&self, ticket: &Ticket<E>) -> Verdict {
-        let demand = self.demand(ticket.no);
+    /// Returns the scheduler's verdict, for which the request may have to queue until its deadline.
+    async fn await_verdict(&self, attempt: &AttemptGuard<E>) -> Verdict {
+        let demand = self.demand(attempt.no);
         let now = self.gateway.now();
         if let Some(verdict) = self.gateway.traffic.borrow_mut().admit(now, demand) {
             return verdict;
         }
         let (tx, rx) = oneshot::channel();
-        self.gateway.waiting.borrow_mut().insert(ticket.no, tx);
+        self.gateway.waiting.borrow_mut().insert(attempt.no, tx);
         let timed_out = Verdict::Refuse { code: Code::DeadlineQueued, retry_after: Millis::ZERO };
         let verdict = timeout_at(self.deadline, rx).await;
         let waited = self.gateway.now().since(now);
@@ -351,7 +369,7 @@
         }
     }
 
-    /// Returns until when an upstream may stay silent.
+    /// Returns the time at which an upstream that sends nothing is taken for hung.
     pub(super) fn hang_deadline(&self) -> Instant {
         let can_repeat = self.route.kind.is_idempotent()
             && self.progress.borrow().attempts + 1 < self.route.max_attempts;
@@ -369,7 +387,8 @@
     Some(host.rsplit_once(':').map_or(host, |(name, _)| name))
 }
 
-/// Chooses one of a route's services by its weights; the same for the same request.
+/// Selects one of a route's services at random by weight, always the same one for the same request
+/// id.
 fn choose_service<'a>(route: &'a Route, request_id: &str) -> &'a Service {
     let sum: u32 = route.targets.iter().map(|(_, weight)| *weight).sum();
     let mut point = crc32fast::hash(request_id.as_bytes()) % sum.max(1);
@@ -382,7 +401,10 @@
     &route.targets[0].0
 }
 
-fn whole<E: Edge>(mut head: http::response::Parts, body: Bytes) -> Response<AnswerBody<E>> {
+fn complete_response<E: Edge>(
+    mut head: http::response::Parts,
+    body: Bytes,
+) -> Response<AnswerBody<E>> {
     strip_hop_headers(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     head.version = http::Version::HTTP_11;
--- a/src/kingcupgrade/transport/gateway/caller/telling.rs
+++ b/src/kingcupgrade/transport/gateway/request/reporting.rs
@@ -1,8 +1,8 @@
-//! What is told of one caller's request: where it was sent, how it went, why it was given up.
+//! Logging and metrics of a caller's request: its placement, its latency, or its failure.
 
 use http::Response;
 
-use super::{Caller, LastSend, Progress};
+use super::{LastSend, Progress, ProxiedRequest};
 use crate::{
     coordination::traffic::Grant,
     core::{Code, Millis},
@@ -14,21 +14,21 @@
     },
 };
 
-impl<E: Edge> Caller<E> {
-    /// Tells that an answer is cut after it had begun.
-    pub(in crate::transport::gateway) fn tell_broken_off(&self, code: Code) {
+impl<E: Edge> ProxiedRequest<E> {
+    /// Logs that a response was truncated after it had begun.
+    pub(in crate::transport::gateway) fn report_truncated(&self, code: Code) {
         let progress = self.progress.borrow();
-        self.gateway.decisions.truncated(code, &self.given_up(code, Millis::ZERO, &progress));
+        self.gateway.decisions.truncated(code, &self.failure_line(code, Millis::ZERO, &progress));
     }
 
-    /// Notes that the first byte of the answer came.
+    /// Records the arrival of the first byte of the response.
     pub(in crate::transport::gateway) fn on_first_byte(&self) {
         let now = self.gateway.now();
         self.progress.borrow_mut().first_byte.get_or_insert(now);
     }
 
-    /// Tells of a whole answer how it went.
-    pub(in crate::transport::gateway) fn tell_answered(&self, longest_pause: Millis) {
+    /// Records the latency of a complete response, and logs it if it was late.
+    pub(in crate::transport::gateway) fn report_answered(&self, longest_pause: Millis) {
         let progress = self.progress.borrow();
         let (Some(sent), Some(first_byte)) = (&progress.sent, progress.first_byte) else { return };
         let times = Times {
@@ -60,7 +60,7 @@
         );
     }
 
-    fn given_up<'a>(
+    fn failure_line<'a>(
         &'a self,
         code: Code,
         retry_after_ms: Millis,
@@ -78,7 +78,8 @@
         }
     }
 
-    pub(super) fn tell_placed(&self, grant: &Grant) {
+    /// Logs the upstream chosen for an attempt.
+    pub(super) fn report_placed(&self, grant: &Grant) {
         let now = self.gateway.now();
         let expected = Millis(grant.basis.expected_ms);
         let mut progress = self.progress.borrow_mut();
@@ -100,9 +101,10 @@
         });
     }
 
+    /// Logs the refusal of the request, and builds the response.
     pub(super) fn refuse(&self, code: Code, retry_after: Millis) -> Response<AnswerBody<E>> {
         let progress = self.progress.borrow();
-        self.gateway.decisions.refused(code, &self.given_up(code, retry_after, &progress));
+        self.gateway.decisions.refused(code, &self.failure_line(code, retry_after, &progress));
         drop(progress);
         refusal(&*self.gateway.edge, code, retry_after, self.request_id.as_deref())
     }
--- a/src/kingcupgrade/transport/gateway/serve.rs
+++ b/src/kingcupgrade/transport/gateway/serve.rs
@@ -15,8 +15,8 @@
 use super::{
     Gateway,
     answer::{AnswerBody, refusal},
-    caller::Caller,
     edge::Edge,
+    request::ProxiedRequest,
 };
 use crate::{
     coordination::shutdown::DrainStage,
@@ -133,7 +133,7 @@
     let mut drain = gateway.drain.subscribe();
     let closing = drain.wait_for(|stage| *stage >= DrainStage::Closing);
     tokio::select! {
-        // A disconnected caller is logged where its request is handled.
+        // A disconnect is recorded where the request is handled, which cancels its attempt.
         _ = connection.as_mut() => return,
         _ = closing => {}
     }
@@ -176,12 +176,12 @@
     let Some(configuration) = configuration else {
         return refuse(Code::NotReady, RETRY_AFTER_START);
     };
-    match Caller::new(gateway.clone(), &configuration, head, decoded, body) {
-        Ok(caller) if !gateway.has_time_for(caller.patience()) => {
+    match ProxiedRequest::new(gateway.clone(), &configuration, head, decoded, body) {
+        Ok(proxied) if !gateway.has_time_for(proxied.timeout()) => {
             refuse(Code::Draining, RETRY_AFTER_DRAIN)
         }
-        Ok(caller) if gateway.must_shed() => Ok(caller.turn_away()),
-        Ok(caller) => Ok(Rc::new(caller).serve().await),
+        Ok(proxied) if gateway.must_shed() => Ok(proxied.shed()),
+        Ok(proxied) => Ok(Rc::new(proxied).serve().await),
         Err(code) => refuse(code, Millis::ZERO),
     }
 }
