--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -4,7 +4,6 @@
 //! Everything runs as tasks on one thread. A request waits only for the network and for its turn on
 //! the processor; scheduling decisions are direct calls of [`Traffic`], without messages or locks.
 
-mod answer;
 pub mod course;
 mod decisions;
 pub mod edge;
@@ -13,6 +12,7 @@
 pub mod pool;
 mod relay;
 mod request;
+mod response;
 mod scheduling_delay;
 mod serve;
 
--- a/src/kingcupgrade/transport/gateway/relay.rs
+++ b/src/kingcupgrade/transport/gateway/relay.rs
@@ -14,11 +14,11 @@
 use tokio::time::{Instant, Sleep, sleep_until};
 
 use super::{
-    answer::BrokenOff,
     edge::Edge,
     events::EventCutter,
     pool::Connection,
     request::{AttemptGuard, ProxiedRequest, UpstreamResponse},
+    response::TruncatedResponse,
 };
 use crate::{
     coordination::traffic::SendEnd,
@@ -101,7 +101,7 @@
     pub(super) fn poll_frame(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         loop {
             let polled = match &mut self.state {
                 State::Ended => return Poll::Ready(None),
@@ -168,7 +168,7 @@
     fn poll_timer(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         while self.timer.as_mut().poll(cx).is_ready() {
             let now = Instant::now();
             if now >= self.abort_at {
@@ -223,13 +223,13 @@
     }
 
     /// Aborts the response to the caller, and records how the attempt ended.
-    fn abort(&mut self, end: SendEnd) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    fn abort(&mut self, end: SendEnd) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         let is_overdue = end == SendEnd::Cancelled;
         let code = if is_overdue { Code::AnswerTimeout } else { Code::AnswerBroken };
         self.request.report_truncated(code);
         if let State::Reading(source) = std::mem::replace(&mut self.state, State::Ended) {
             source.attempt.end(end);
         }
-        Poll::Ready(Some(Err(BrokenOff)))
+        Poll::Ready(Some(Err(TruncatedResponse)))
     }
 }
--- a/src/kingcupgrade/transport/gateway/request/exchange.rs
+++ b/src/kingcupgrade/transport/gateway/request/exchange.rs
@@ -13,9 +13,9 @@
     coordination::traffic::{Grant, SendEnd},
     core::Millis,
     transport::gateway::{
-        answer::strip_hop_headers,
         edge::{Edge, Mark},
         pool::{Connection, NoConnection},
+        response::strip_hop_headers,
     },
     util::log,
 };
--- a/src/kingcupgrade/transport/gateway/request/mod.rs
+++ b/src/kingcupgrade/transport/gateway/request/mod.rs
@@ -19,9 +19,9 @@
 use self::exchange::SendResult;
 use super::{
     Gateway,
-    answer::{AnswerBody, strip_hop_headers},
     edge::{CallerHead, Edge},
     relay::Relay,
+    response::{ResponseBody, strip_hop_headers},
 };
 use crate::{
     coordination::traffic::{Demand, PromptPart, RequestNo, SendEnd, Verdict},
@@ -166,7 +166,7 @@
     }
 
     /// Refuses the request because this entry is overloaded.
-    pub(super) fn shed(&self) -> Response<AnswerBody<E>> {
+    pub(super) fn shed(&self) -> Response<ResponseBody<E>> {
         // The request isn't queued, so nothing is registered under its number.
         let demand = self.demand(0);
         let retry_after = self.gateway.traffic.borrow_mut().turn_away(self.arrived, &demand);
@@ -175,7 +175,7 @@
 
     /// Returns the response: a streamed one as soon as its head has arrived, any other one once it
     /// is complete.
-    pub(super) async fn serve(self: Rc<ProxiedRequest<E>>) -> Response<AnswerBody<E>> {
+    pub(super) async fn serve(self: Rc<ProxiedRequest<E>>) -> Response<ResponseBody<E>> {
         let response = match self.obtain(None).await {
             Ok(response) => response,
             Err((code, retry_after)) => return self.refuse(code, retry_after),
@@ -193,12 +193,12 @@
     fn relay(
         self: Rc<ProxiedRequest<E>>,
         response: UpstreamResponse<E>,
-    ) -> Response<AnswerBody<E>> {
+    ) -> Response<ResponseBody<E>> {
         let mut head = response.head;
         strip_hop_headers(&mut head.headers);
         head.version = http::Version::HTTP_11;
         let relay = Relay::new(self, response.body, response.connection, response.attempt);
-        Response::from_parts(head, AnswerBody::Streamed(Box::new(relay)))
+        Response::from_parts(head, ResponseBody::Streamed(Box::new(relay)))
     }
 
     /// Reads a response to the end before forwarding any of it, so that if it breaks off the
@@ -206,7 +206,7 @@
     async fn collect(
         self: Rc<ProxiedRequest<E>>,
         first: UpstreamResponse<E>,
-    ) -> Response<AnswerBody<E>> {
+    ) -> Response<ResponseBody<E>> {
         let mut response = first;
         loop {
             let UpstreamResponse { head, body, mut connection, attempt } = response;
@@ -404,9 +404,9 @@
 fn complete_response<E: Edge>(
     mut head: http::response::Parts,
     body: Bytes,
-) -> Response<AnswerBody<E>> {
+) -> Response<ResponseBody<E>> {
     strip_hop_headers(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     head.version = http::Version::HTTP_11;
-    Response::from_parts(head, AnswerBody::Full(Full::new(body)))
+    Response::from_parts(head, ResponseBody::Full(Full::new(body)))
 }
--- a/src/kingcupgrade/transport/gateway/request/reporting.rs
+++ b/src/kingcupgrade/transport/gateway/request/reporting.rs
@@ -7,10 +7,10 @@
     coordination::traffic::Grant,
     core::{Code, Millis},
     transport::gateway::{
-        answer::{AnswerBody, refusal},
         course::{LateAnswerLine, Times},
         decisions::{FailureLine, PlacementLine},
         edge::Edge,
+        response::{ResponseBody, error_response},
     },
 };
 
@@ -102,10 +102,10 @@
     }
 
     /// Logs the refusal of the request, and builds the response.
-    pub(super) fn refuse(&self, code: Code, retry_after: Millis) -> Response<AnswerBody<E>> {
+    pub(super) fn refuse(&self, code: Code, retry_after: Millis) -> Response<ResponseBody<E>> {
         let progress = self.progress.borrow();
         self.gateway.decisions.refused(code, &self.failure_line(code, retry_after, &progress));
         drop(progress);
-        refusal(&*self.gateway.edge, code, retry_after, self.request_id.as_deref())
+        error_response(&*self.gateway.edge, code, retry_after, self.request_id.as_deref())
     }
 }
--- a/src/kingcupgrade/transport/gateway/answer.rs
+++ b/src/kingcupgrade/transport/gateway/response.rs
@@ -14,7 +14,7 @@
 use crate::core::{Code, Millis};
 
 /// The body of a response to a caller.
-pub(super) enum AnswerBody<E: Edge> {
+pub(super) enum ResponseBody<E: Edge> {
     /// A body that is held in memory completely.
     Full(Full<Bytes>),
     /// An upstream's stream, forwarded as it arrives.
@@ -24,52 +24,52 @@
 /// The error that aborts a streamed response. The connection to the caller is closed without the
 /// body's terminator, so that the caller can't mistake the truncated body for a complete one.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct BrokenOff;
+pub(super) struct TruncatedResponse;
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for TruncatedResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the upstream's response was truncated")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for TruncatedResponse {}
 
-impl<E: Edge> Body for AnswerBody<E> {
+impl<E: Edge> Body for ResponseBody<E> {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = TruncatedResponse;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         match self.get_mut() {
-            AnswerBody::Full(body) => Pin::new(body).poll_frame(cx).map_err(|err| match err {}),
-            AnswerBody::Streamed(relay) => relay.poll_frame(cx),
+            ResponseBody::Full(body) => Pin::new(body).poll_frame(cx).map_err(|err| match err {}),
+            ResponseBody::Streamed(relay) => relay.poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Full(body) => body.is_end_stream(),
-            AnswerBody::Streamed(_) => false,
+            ResponseBody::Full(body) => body.is_end_stream(),
+            ResponseBody::Streamed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Full(body) => body.size_hint(),
-            AnswerBody::Streamed(relay) => relay.size_hint(),
+            ResponseBody::Full(body) => body.size_hint(),
+            ResponseBody::Streamed(relay) => relay.size_hint(),
         }
     }
 }
 
 /// Builds the error response to a request that is refused or has failed.
-pub(super) fn refusal<E: Edge>(
+pub(super) fn error_response<E: Edge>(
     edge: &E,
     code: Code,
     retry_after: Millis,
     request_id: Option<&str>,
-) -> Response<AnswerBody<E>> {
+) -> Response<ResponseBody<E>> {
     let text = format!("{code}\n");
     let mut headers = HeaderMap::new();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
@@ -81,7 +81,7 @@
     if let Some(request_id) = request_id {
         edge.mark_refusal(&mut headers, request_id);
     }
-    let mut response = Response::new(AnswerBody::Full(Full::new(text.into())));
+    let mut response = Response::new(ResponseBody::Full(Full::new(text.into())));
     *response.status_mut() =
         http::StatusCode::from_u16(code.status()).expect("every code maps to an HTTP status");
     *response.headers_mut() = headers;
--- a/src/kingcupgrade/transport/gateway/serve.rs
+++ b/src/kingcupgrade/transport/gateway/serve.rs
@@ -14,9 +14,9 @@
 
 use super::{
     Gateway,
-    answer::{AnswerBody, refusal},
     edge::Edge,
     request::ProxiedRequest,
+    response::{ResponseBody, error_response},
 };
 use crate::{
     coordination::shutdown::DrainStage,
@@ -158,14 +158,14 @@
 async fn serve_one<E: Edge>(
     gateway: Rc<Gateway<E>>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody<E>>, Infallible> {
+) -> Result<Response<ResponseBody<E>>, Infallible> {
     let _counted = Counted::new(&gateway.open_requests);
     let (head, body) = request.into_parts();
     let decoded = gateway.edge.read_caller(&head);
     let request_id = decoded.request_id.clone();
     let refuse = |code, retry_after| {
         gateway.log_unrouted_refusal(code, retry_after, request_id.as_deref());
-        Ok(refusal(&*gateway.edge, code, retry_after, request_id.as_deref()))
+        Ok(error_response(&*gateway.edge, code, retry_after, request_id.as_deref()))
     };
     let configuration = gateway.traffic.borrow().configuration().cloned();
     let limits = configuration.as_ref().map(|configuration| &configuration.limits);
