--- a/src/kingcupgrade/transport/callers/admit.rs
+++ b/src/kingcupgrade/transport/callers/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: what a caller sent, checked against the document of its service.
+//! Admission of requests: validation against the document of the requested service.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,13 +15,13 @@
     },
 };
 
-/// The largest head of a request, in bytes.
+/// The maximum total length of a request's URL and headers, in bytes.
 const MAX_HEAD_LEN: usize = 32 << 10;
 
-/// The longest request key, in bytes.
+/// The maximum length of an idempotency key, in bytes.
 const MAX_KEY_LEN: usize = 256;
 
-/// An admitted request, as read from its caller.
+/// A request that has been admitted.
 pub(super) struct Admitted {
     pub(super) document: Arc<Document>,
     pub(super) service: Service,
@@ -31,6 +31,11 @@
     pub(super) upstream: UpstreamRequest,
 }
 
+/// Reads and validates a request, and determines its service and organisation.
+///
+/// # Errors
+///
+/// Returns the coded error with which the request is to be refused.
 pub(super) fn admit(request: &mut Request, shared: &Shared) -> Result<Admitted, CodedError> {
     check_head(request)?;
     let (service, path) = split_path(request.url())?;
@@ -54,8 +59,8 @@
         .ok_or_else(|| CodedError::new(Code::UnknownToken, ""))?
         .clone();
     let method = request.method().to_owned();
-    let bare_path = path.split('?').next().unwrap_or(&path).to_owned();
-    let idempotent = !document.must_not_repeat(&method, &bare_path);
+    let path_without_query = path.split('?').next().unwrap_or(&path).to_owned();
+    let idempotent = !document.must_not_repeat(&method, &path_without_query);
     let body = request.read_body(document.limits.body_bytes)?;
     let keyed = if idempotent {
         None
@@ -65,7 +70,7 @@
     let upstream = UpstreamRequest {
         method,
         path,
-        headers: passed_on(request),
+        headers: forwarded_headers(request),
         body,
         silence: Duration::from_millis(document.limits.silence_ms),
     };
@@ -76,11 +81,15 @@
 fn check_head(request: &Request) -> Result<(), CodedError> {
     let len: usize = request.headers().map(|(name, value)| name.len() + value.len()).sum();
     if len + request.url().len() > MAX_HEAD_LEN {
-        return Err(CodedError::new(Code::HeadTooLarge, format!("at most {MAX_HEAD_LEN} bytes")));
+        return Err(CodedError::new(
+            Code::HeadTooLarge,
+            format!("the URL and headers may have at most {MAX_HEAD_LEN} bytes"),
+        ));
     }
     Ok(())
 }
 
+/// Splits a URL into the service, which is its first path segment, and the remaining path.
 fn split_path(url: &str) -> Result<(Service, String), CodedError> {
     let path = url.strip_prefix('/').unwrap_or(url);
     let end = path.find(['/', '?']).unwrap_or(path.len());
@@ -88,18 +97,20 @@
     if service.is_empty() {
         return Err(CodedError::new(
             Code::BadRequest,
-            "expected a path that begins with a service",
+            "expected the name of a service as the first path segment",
         ));
     }
     let rest = if rest.starts_with('/') { rest.to_owned() } else { format!("/{rest}") };
     Ok((Service::from(service), rest))
 }
 
-fn passed_on(request: &Request) -> Vec<(String, String)> {
-    let kept = request.headers().filter(|(name, _)| upstream::is_passed_on(name));
-    kept.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
+/// Returns the headers that are forwarded to the upstream.
+fn forwarded_headers(request: &Request) -> Vec<(String, String)> {
+    let forwarded = request.headers().filter(|(name, _)| upstream::is_passed_on(name));
+    forwarded.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
 }
 
+/// Reads the idempotency key, and computes the digest of the request that it stands for.
 fn read_key(
     request: &Request,
     service: &Service,
@@ -111,7 +122,7 @@
     let key = request.header("idempotency-key").filter(|key| !key.is_empty());
     let key = key.ok_or_else(|| CodedError::new(Code::KeyMissing, ""))?;
     if key.len() > MAX_KEY_LEN {
-        let detail = format!("an Idempotency-Key has at most {MAX_KEY_LEN} bytes");
+        let detail = format!("an Idempotency-Key may have at most {MAX_KEY_LEN} bytes");
         return Err(CodedError::new(Code::BadRequest, detail));
     }
     let mut hasher = Sha256::new();
--- a/src/kingcupgrade/transport/callers/mod.rs
+++ b/src/kingcupgrade/transport/callers/mod.rs
@@ -1,12 +1,13 @@
-//! Callers' requests over HTTP.
+//! Requests of callers over HTTP.
 //!
-//! One thread serves one request: it waits for the node's verdict, makes the attempts it is told
-//! to make, and relays the answer event by event. An event is passed on only when it is whole, so
-//! that the count of events passed on is exactly where a broken answer is resumed.
+//! Each request is served by its own thread, which waits for the node's verdicts, makes the
+//! attempts that they order, and forwards the response event by event. Only complete events are
+//! forwarded, so that the number of forwarded events is exactly the offset at which a broken
+//! response is resumed.
 
 mod admit;
-mod answer;
 mod relay;
+mod response;
 
 use std::{
     sync::{
@@ -18,7 +19,7 @@
     time::{Duration, Instant},
 };
 
-use self::{admit::admit, answer::refuse, relay::Relay};
+use self::{admit::admit, relay::Relay, response::refuse};
 use crate::{
     coordination::entry::Arrival,
     core::{Code, Millis, Settings, code::CodedError},
@@ -29,21 +30,22 @@
     },
 };
 
-/// The stack of a request's thread, in bytes.
+/// The stack size of a request's thread, in bytes.
 const STACK_LEN: usize = 512 << 10;
-/// When a caller turned away by a full instance should come back.
+/// The retry delay sent by an instance that serves as many requests as it may.
 const BUSY_RETRY_AFTER: Millis = Millis(1_000);
 
-/// What the threads share.
+/// The state shared by the threads that serve requests.
 struct Shared {
     view: SharedView,
     events: mpsc::Sender<Event>,
     next: NextRequest,
+    /// The number of requests being served.
     open: AtomicUsize,
     max_requests: usize,
 }
 
-/// Starts to serve callers.
+/// Starts the server for callers.
 ///
 /// # Errors
 ///
@@ -61,12 +63,12 @@
         open: AtomicUsize::new(0),
         max_requests: settings.max_requests,
     });
-    http::start("callers", address, move |request| begin(request, &shared))?;
+    http::start("callers", address, move |request| spawn_serve(request, &shared))?;
     Ok(())
 }
 
-/// Serves a request on a thread of its own, or turns it away if there are too many.
-fn begin(request: Request, shared: &Arc<Shared>) {
+/// Serves a request on a thread of its own, or refuses it if the maximum number is being served.
+fn spawn_serve(request: Request, shared: &Arc<Shared>) {
     if shared.open.fetch_add(1, Ordering::Relaxed) >= shared.max_requests {
         shared.open.fetch_sub(1, Ordering::Relaxed);
         refuse(request, &CodedError::new(Code::TooBusy, ""), BUSY_RETRY_AFTER);
@@ -78,7 +80,7 @@
         thread_shared.open.fetch_sub(1, Ordering::Relaxed);
     });
     if spawned.is_err() {
-        // The request is dropped with the thread; its caller sees a closed connection.
+        // The request is dropped with the closure, which closes the caller's connection.
         shared.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
@@ -101,14 +103,15 @@
         idempotent: admitted.idempotent,
         needs_claim: admitted.keyed.is_some(),
     };
-    let hung_up = tx.clone();
+    let disconnect_tx = tx.clone();
     if shared.events.send(Event::Arrived(arrival, admitted.keyed.clone(), tx)).is_err() {
         refuse(request, &CodedError::new(Code::Draining, ""), Millis::ZERO);
         return;
     }
-    // The thread itself says so to the node, which then knows that it sends nothing any more.
+    // The disconnect is reported to the node by this thread rather than by the connection's, so
+    // that the node knows that nothing more is sent for the request.
     let answer = request.on_hang_up(move || {
-        let _ = hung_up.send(Verdict::HungUp);
+        let _ = disconnect_tx.send(Verdict::HungUp);
     });
     let deadline = Instant::now() + Duration::from_millis(admitted.document.limits.deadline_ms);
     let relay = Relay { id, admitted: &admitted, shared, deadline, arrived: Instant::now() };
--- a/src/kingcupgrade/transport/callers/relay.rs
+++ b/src/kingcupgrade/transport/callers/relay.rs
@@ -1,4 +1,4 @@
-//! The attempts at one admitted request, as the node orders them.
+//! The attempts to serve an admitted request, as ordered by the node.
 
 use std::{
     io::Read,
@@ -11,7 +11,7 @@
 use super::{
     BUSY_RETRY_AFTER, Shared,
     admit::Admitted,
-    answer::{Answer, begin_stream, give_up, replay, respond_whole},
+    response::{ResponseState, begin_stream, fail, replay, respond_complete},
 };
 use crate::{
     coordination::{
@@ -23,15 +23,16 @@
     transport::{Event, Verdict, http::PendingAnswer, upstream},
 };
 
-/// The largest answer relayed whole, in bytes.
-const MAX_WHOLE_ANSWER: u64 = 64 << 20;
+/// The maximum length of a response that is not streamed, in bytes.
+const MAX_RESPONSE_LEN: u64 = 64 << 20;
 
-/// Added to a request's deadline before its thread stops waiting for the node.
+/// How long after a request's deadline its thread stops waiting for the node.
 const VERDICT_SLACK: Duration = Duration::from_secs(10);
 
-/// A streaming answer's cost is first reported when it reaches this, then whenever it has doubled:
-/// a dispatcher is never wrong by more than that, and a long answer costs few messages.
-const FIRST_PROGRESS: u32 = 64;
+/// The cost of a streamed response is reported when it reaches this value, and then each time it
+/// has doubled. Thus a dispatcher's estimate is never off by more than a factor of two, and a long
+/// response takes few messages.
+const FIRST_REPORTED_COST: u32 = 64;
 
 /// Serves one admitted request.
 pub(super) struct Relay<'a> {
@@ -43,15 +44,17 @@
 }
 
 impl Relay<'_> {
+    /// Carries out the node's verdicts until the request has ended.
     pub(super) fn run(&self, pending: PendingAnswer, verdicts: &mpsc::Receiver<Verdict>) {
-        let mut answer = Answer::Pending(pending);
+        let mut answer = ResponseState::Pending(pending);
         loop {
-            let patience = self.remaining() + VERDICT_SLACK;
-            let verdict = verdicts.recv_timeout(patience).unwrap_or_else(|_| self.stop_waiting());
+            let timeout = self.remaining() + VERDICT_SLACK;
+            let verdict =
+                verdicts.recv_timeout(timeout).unwrap_or_else(|_| self.on_verdict_timeout());
             let address = match verdict {
                 Verdict::Start(_, address) => address,
                 Verdict::HungUp => {
-                    self.tell_hung_up();
+                    self.report_disconnect();
                     return;
                 }
                 Verdict::Replay(kept) => {
@@ -59,37 +62,40 @@
                     return;
                 }
                 Verdict::GiveUp { code, retry_after } => {
-                    give_up(answer, code, retry_after);
+                    fail(answer, code, retry_after);
                     return;
                 }
             };
             let is_stream = self.admitted.document.kind == Kind::ModelEngine;
             let next =
-                if is_stream { self.stream(answer, address) } else { self.whole(answer, address) };
+                if is_stream { self.stream(answer, address) } else { self.buffer(answer, address) };
             match next {
-                Some(pending) => answer = pending,
+                Some(unfinished) => answer = unfinished,
                 None => return,
             }
         }
     }
 
-    /// Gives a request up that the node has said nothing about for too long.
+    /// Fails the request because the node has sent no verdict in time.
     ///
-    /// The node must hear of it: a slot given to the request later would stay taken for nobody.
-    fn stop_waiting(&self) -> Verdict {
-        self.tell_hung_up();
+    /// The node must be told: otherwise it could still assign a slot to the request, and that slot
+    /// would never be released.
+    fn on_verdict_timeout(&self) -> Verdict {
+        self.report_disconnect();
         Verdict::GiveUp { code: Code::DeadlineQueued, retry_after: BUSY_RETRY_AFTER }
     }
 
-    fn tell_hung_up(&self) {
-        // Without the control thread the process is about to end.
+    fn report_disconnect(&self) {
+        // Sending fails only while the process exits, after the control thread has ended.
         let _ = self.shared.events.send(Event::Input(Input::HungUp(self.id)));
     }
 
+    /// Returns the time left until the deadline.
     fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
+    /// Reports the end of an attempt to the node.
     fn end(
         &self,
         end: AttemptEnd,
@@ -100,13 +106,19 @@
         let first_byte_ms = first_byte.map(|d| u32::try_from(d.as_millis()).unwrap_or(u32::MAX));
         let id = self.id;
         let input = Input::AttemptEnded { id, end, cost, first_byte_ms, answer: kept };
-        // The node outlives its traffic threads; only at the very end of the process nobody hears.
+        // The node outlives the threads that serve requests; sending fails only while the process
+        // exits.
         let _ = self.shared.events.send(Event::Input(input));
         counter!("kingcup_attempts", "end" => format!("{end:?}")).increment(1);
     }
 
-    /// Makes an attempt whose answer is passed on when it is whole.
-    fn whole(&self, answer: Answer, address: std::net::SocketAddr) -> Option<Answer> {
+    /// Makes an attempt whose response is forwarded once it is complete. Returns the response state
+    /// unless the request has ended.
+    fn buffer(
+        &self,
+        answer: ResponseState,
+        address: std::net::SocketAddr,
+    ) -> Option<ResponseState> {
         let sent = Instant::now();
         let mut response =
             match upstream::send(&self.admitted.upstream, address, 0, self.remaining()) {
@@ -119,7 +131,7 @@
         let first_byte = sent.elapsed();
         let content_type = content_type(&response);
         let status = response.status().as_u16();
-        let Ok(body) = upstream::read_whole(response.body_mut(), MAX_WHOLE_ANSWER) else {
+        let Ok(body) = upstream::read_whole(response.body_mut(), MAX_RESPONSE_LEN) else {
             self.end(AttemptEnd::Broken, 0, Some(first_byte), None);
             return Some(answer);
         };
@@ -129,18 +141,23 @@
             body: String::from_utf8(body.clone()).ok(),
         });
         self.end(AttemptEnd::Completed, 1, Some(first_byte), kept);
-        self.note_done();
-        if let Answer::Pending(pending) = answer {
-            respond_whole(pending, Code::Done, status, &content_type, body);
+        self.record_done();
+        if let ResponseState::Pending(pending) = answer {
+            respond_complete(pending, Code::Done, status, &content_type, body);
         }
         None
     }
 
-    /// Makes an attempt whose answer is passed on event by event.
-    fn stream(&self, answer: Answer, address: std::net::SocketAddr) -> Option<Answer> {
+    /// Makes an attempt whose response is forwarded event by event. Returns the response state
+    /// unless the request has ended.
+    fn stream(
+        &self,
+        answer: ResponseState,
+        address: std::net::SocketAddr,
+    ) -> Option<ResponseState> {
         let offset = match &answer {
-            Answer::Pending(_) => 0,
-            Answer::Streaming { events, .. } => *events,
+            ResponseState::Pending(_) => 0,
+            ResponseState::Streaming { events, .. } => *events,
         };
         let sent = Instant::now();
         let response =
@@ -152,7 +169,7 @@
                 }
             };
         if offset > 0 && resumed_from(&response) != Some(offset) {
-            // It began anew, and its first events need not be the ones already passed on.
+            // The upstream started over, and its first events may differ from those already sent.
             self.end(AttemptEnd::BrokenForGood, cost_of(offset), None, None);
             return Some(answer);
         }
@@ -161,16 +178,16 @@
 
     fn relay_events(
         &self,
-        answer: Answer,
+        answer: ResponseState,
         mut response: ureq::http::Response<ureq::Body>,
         sent: Instant,
-    ) -> Option<Answer> {
+    ) -> Option<ResponseState> {
         let (mut stream, mut events) = match answer {
-            Answer::Streaming { stream, events } => (stream, events),
-            Answer::Pending(pending) => (begin_stream(pending, &response), 0),
+            ResponseState::Streaming { stream, events } => (stream, events),
+            ResponseState::Pending(pending) => (begin_stream(pending, &response), 0),
         };
         let mut first_byte = None;
-        let mut next_progress = FIRST_PROGRESS;
+        let mut next_reported_cost = FIRST_REPORTED_COST;
         let mut reader = response.body_mut().as_reader();
         let mut buf = [0; 16 << 10];
         let mut partial = Vec::new();
@@ -185,24 +202,24 @@
                         AttemptEnd::Broken
                     };
                     self.end(end, cost_of(events), first_byte, None);
-                    return Some(Answer::Streaming { stream, events });
+                    return Some(ResponseState::Streaming { stream, events });
                 }
             };
-            first_byte.get_or_insert_with(|| self.note_first_byte(sent));
+            first_byte.get_or_insert_with(|| self.record_first_byte(sent));
             partial.extend_from_slice(&buf[..count]);
-            let whole = whole_events(&partial);
-            if whole.len == 0 {
+            let complete = complete_events(&partial);
+            if complete.len == 0 {
                 continue;
             }
-            if stream.write(&partial[..whole.len]).is_err() {
-                // The caller hung up; dropping the answer cancels it at the upstream.
+            if stream.write(&partial[..complete.len]).is_err() {
+                // The caller has disconnected; dropping the response cancels it at the upstream.
                 self.end(AttemptEnd::HungUp, cost_of(events), first_byte, None);
                 return None;
             }
-            events += whole.count;
-            partial.drain(..whole.len);
-            if cost_of(events) >= next_progress {
-                next_progress = cost_of(events).saturating_mul(2);
+            events += complete.count;
+            partial.drain(..complete.len);
+            if cost_of(events) >= next_reported_cost {
+                next_reported_cost = cost_of(events).saturating_mul(2);
                 let input = Input::Progressed(self.id, cost_of(events));
                 let _ = self.shared.events.send(Event::Input(input));
             }
@@ -211,38 +228,38 @@
             let _ = stream.write(&partial);
         }
         self.end(AttemptEnd::Completed, cost_of(events), first_byte, None);
-        self.note_done();
+        self.record_done();
         let _ = stream.end();
         None
     }
 
-    fn note_first_byte(&self, sent: Instant) -> Duration {
+    fn record_first_byte(&self, sent: Instant) -> Duration {
         histogram!("kingcup_first_byte_ms").record(self.arrived.elapsed().as_millis() as f64);
         sent.elapsed()
     }
 
-    fn note_done(&self) {
+    fn record_done(&self) {
         counter!("kingcup_requests", "code" => Code::Done.number().to_string()).increment(1);
         histogram!("kingcup_request_ms").record(self.arrived.elapsed().as_millis() as f64);
     }
 }
 
-/// Returns a request's cost: its events, at least one.
+/// Returns a request's cost: the number of its events, but at least one.
 fn cost_of(events: u64) -> u32 {
     u32::try_from(events).unwrap_or(u32::MAX).max(1)
 }
 
-struct WholeEvents {
+struct CompleteEvents {
     len: usize,
     count: u64,
 }
 
-/// Finds the whole events at the beginning of `bytes`; each ends with an empty line.
-fn whole_events(bytes: &[u8]) -> WholeEvents {
+/// Finds the complete events at the beginning of `bytes`; an empty line ends an event.
+fn complete_events(bytes: &[u8]) -> CompleteEvents {
     let ends = bytes.windows(2).enumerate().filter(|(_, pair)| *pair == b"\n\n");
-    ends.fold(WholeEvents { len: 0, count: 0 }, |whole, (at, _)| WholeEvents {
+    ends.fold(CompleteEvents { len: 0, count: 0 }, |complete, (at, _)| CompleteEvents {
         len: at + 2,
-        count: whole.count + 1,
+        count: complete.count + 1,
     })
 }
 
--- a/src/kingcupgrade/transport/callers/answer.rs
+++ b/src/kingcupgrade/transport/callers/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: relayed, kept, refused or broken off, always with code and outcome.
+//! Responses to callers: forwarded, replayed, refused or aborted, always with code and outcome.
 
 use metrics::counter;
 
@@ -9,13 +9,15 @@
     transport::http::{self, AnswerStream, PendingAnswer, Request, refusal_body},
 };
 
-/// The answer's way to the caller: not begun, or a stream under way.
-pub(super) enum Answer {
+/// The state of the response to a caller.
+pub(super) enum ResponseState {
+    /// Nothing has been sent.
     Pending(PendingAnswer),
+    /// A stream has begun, and this many events have been sent.
     Streaming { stream: AnswerStream, events: u64 },
 }
 
-/// Begins a streaming answer.
+/// Begins a streamed response.
 pub(super) fn begin_stream(
     pending: PendingAnswer,
     response: &ureq::http::Response<ureq::Body>,
@@ -27,34 +29,39 @@
     pending.stream(head)
 }
 
-pub(super) fn replay(answer: Answer, kept: &KeptAnswer) {
-    let Answer::Pending(pending) = answer else { return };
+/// Responds with the stored response to an earlier request with the same idempotency key.
+pub(super) fn replay(answer: ResponseState, kept: &KeptAnswer) {
+    let ResponseState::Pending(pending) = answer else { return };
     let body = kept.body.clone().unwrap_or_default().into_bytes();
     count(Code::Replayed);
-    respond_whole(pending, Code::Replayed, kept.status, &kept.content_type, body);
+    respond_complete(pending, Code::Replayed, kept.status, &kept.content_type, body);
 }
 
-pub(super) fn give_up(answer: Answer, code: Code, retry_after: Millis) {
+/// Responds with an error, as an error event if a stream has begun.
+pub(super) fn fail(answer: ResponseState, code: Code, retry_after: Millis) {
     count(code);
     let err = CodedError::new(code, "");
     match answer {
-        Answer::Pending(pending) => pending.respond(http::Answer::refusal(&err, retry_after)),
-        Answer::Streaming { mut stream, .. } => {
+        ResponseState::Pending(pending) => {
+            pending.respond(http::Answer::refusal(&err, retry_after))
+        }
+        ResponseState::Streaming { mut stream, .. } => {
             let event = format!("event: error\ndata: {}\n\n", refusal_body(&err));
-            // A caller that is gone needs no word of it.
+            // An error means that the caller has disconnected.
             let _ = stream.write(event.as_bytes());
             let _ = stream.end();
         }
     }
 }
 
-/// Refuses a request that the node has not heard of.
+/// Refuses a request that has not been passed to the node.
 pub(super) fn refuse(request: Request, err: &CodedError, retry_after: Millis) {
     count(err.code);
     request.respond(http::Answer::refusal(err, retry_after));
 }
 
-pub(super) fn respond_whole(
+/// Responds with a complete body and the headers of a result code.
+pub(super) fn respond_complete(
     pending: PendingAnswer,
     code: Code,
     status: u16,
