--- a/src/kingcupgrade/transport/callers/relay.rs
+++ b/src/kingcupgrade/transport/callers/relay.rs
@@ -20,7 +20,7 @@
     },
     core::{Code, Kind},
     protocol::record::KeptAnswer,
-    transport::{Event, Verdict, http::PendingAnswer, upstream},
+    transport::{Event, Verdict, http::Responder, upstream},
 };
 
 /// The maximum length of a response that is not streamed, in bytes.
@@ -45,7 +45,7 @@
 
 impl Relay<'_> {
     /// Carries out the node's verdicts until the request has ended.
-    pub(super) fn run(&self, pending: PendingAnswer, verdicts: &mpsc::Receiver<Verdict>) {
+    pub(super) fn run(&self, pending: Responder, verdicts: &mpsc::Receiver<Verdict>) {
         let mut answer = ResponseState::Pending(pending);
         loop {
             let timeout = self.remaining() + VERDICT_SLACK;
--- a/src/kingcupgrade/transport/callers/response.rs
+++ b/src/kingcupgrade/transport/callers/response.rs
@@ -6,20 +6,20 @@
 use crate::{
     core::{Code, Millis, code::CodedError},
     protocol::record::KeptAnswer,
-    transport::http::{self, AnswerStream, PendingAnswer, Request, refusal_body},
+    transport::http::{self, AnswerStream, Request, Responder, error_body},
 };
 
 /// The state of the response to a caller.
 pub(super) enum ResponseState {
     /// Nothing has been sent.
-    Pending(PendingAnswer),
+    Pending(Responder),
     /// A stream has begun, and this many events have been sent.
     Streaming { stream: AnswerStream, events: u64 },
 }
 
 /// Begins a streamed response.
 pub(super) fn begin_stream(
-    pending: PendingAnswer,
+    pending: Responder,
     response: &ureq::http::Response<ureq::Body>,
 ) -> AnswerStream {
     let status = response.status().as_u16();
@@ -46,7 +46,7 @@
             pending.respond(http::Answer::refusal(&err, retry_after))
         }
         ResponseState::Streaming { mut stream, .. } => {
-            let event = format!("event: error\ndata: {}\n\n", refusal_body(&err));
+            let event = format!("event: error\ndata: {}\n\n", error_body(&err));
             // An error means that the caller has disconnected.
             let _ = stream.write(event.as_bytes());
             let _ = stream.end();
@@ -62,7 +62,7 @@
 
 /// Responds with a complete body and the headers of a result code.
 pub(super) fn respond_complete(
-    pending: PendingAnswer,
+    pending: Responder,
     code: Code,
     status: u16,
     content_type: &str,
--- a/src/kingcupgrade/transport/http/connection.rs
+++ b/src/kingcupgrade/transport/http/connection.rs
@@ -1,4 +1,5 @@
-//! One connection: its requests in turn, and a numbered refusal where a head can't be read.
+//! A single connection: serves its requests in sequence, and sends a coded refusal if a request
+//! head can't be parsed.
 
 use std::{
     future::poll_fn,
@@ -18,42 +19,45 @@
 };
 
 use super::{
-    Serve,
-    answer::{Answer, AnswerBody},
-    request::{HangUpAction, Request},
+    Handler,
+    request::{DisconnectAction, Request},
+    response::{Answer, ResponseBody},
 };
 use crate::core::{Code, Millis, code::CodedError};
 
-/// What is read ahead of a connection, in bytes; a head beyond it is refused unread.
+/// The size of the read buffer of a connection, in bytes; a longer request head is refused.
 const MAX_BUF_LEN: usize = 64 << 10;
-/// How long, and how much, a connection that is closed is still read.
+/// For how long a connection that is being closed is still read.
 const LINGER: Duration = Duration::from_millis(500);
+/// How many bytes are read from a connection that is being closed.
 const LINGER_LEN: u64 = 4 << 20;
 
 /// Serves the requests of a connection until it ends.
-pub(super) async fn serve_all(stream: TcpStream, serve: Serve) {
-    // Without it an event waits for the one before to be acknowledged; it can only be slower.
+pub(super) async fn serve_all(stream: TcpStream, serve: Handler) {
+    // Nagle's algorithm would hold back an event until the previous one is acknowledged. A failure
+    // costs latency only.
     let _ = stream.set_nodelay(true);
-    let gate = Gate { stream, swallowed: false };
+    let filtered = ErrorFilter { stream, is_triggered: false };
     let service = service_fn(move |request| Box::pin(serve_one(request, serve.clone())));
     let mut connection = http1::Builder::new()
         .max_buf_size(MAX_BUF_LEN)
-        .serve_connection(TokioIo::new(gate), service);
+        .serve_connection(TokioIo::new(filtered), service);
     let ended = poll_fn(|cx| connection.poll_without_shutdown(cx)).await;
-    let Gate { mut stream, swallowed } = connection.into_parts().io.into_inner();
-    if let (true, Err(err)) = (swallowed, ended) {
+    let ErrorFilter { mut stream, is_triggered } = connection.into_parts().io.into_inner();
+    if let (true, Err(err)) = (is_triggered, ended) {
         let code = if err.is_parse_too_large() { Code::HeadTooLarge } else { Code::BadRequest };
         let refusal = Answer::refusal(&CodedError::new(code, err.to_string()), Millis::ZERO);
-        // A caller that is gone needs no word of it.
+        // An error means that the caller has disconnected.
         let _ = stream.write_all(&refusal.to_bytes()).await;
     }
     linger(stream).await;
 }
 
-/// Closes a connection without losing its last answer.
+/// Closes a connection without losing its last response.
 ///
-/// A connection closed with bytes unread is reset, and the reset can overtake the answer: a
-/// caller who sent too much would see a broken connection instead of the reason.
+/// If a socket is closed while it has unread bytes, the kernel resets the connection, and the reset
+/// can overtake the response: a caller that sent too much would see a connection error instead of
+/// the reason.
 async fn linger(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
@@ -61,36 +65,36 @@
     let mut sink = tokio::io::sink();
     let mut rest = stream.take(LINGER_LEN);
     let reading = tokio::io::copy(&mut rest, &mut sink);
-    // Whatever comes is not looked at.
+    // The bytes are discarded, so that neither an error nor a time-out matters.
     let _ = time::timeout(LINGER, reading).await;
 }
 
-/// Hands a request on and waits for its answer.
+/// Passes a request to the server's handler and waits for the response.
 async fn serve_one(
     request: hyper::Request<Incoming>,
-    serve: Serve,
-) -> Result<Response<AnswerBody>, oneshot::error::RecvError> {
-    let (request, pending) = Request::new(request);
-    let watch = HangUpWatch { action: Some(pending.hung_up) };
+    serve: Handler,
+) -> Result<Response<ResponseBody>, oneshot::error::RecvError> {
+    let (request, receiver) = Request::new(request);
+    let watch = DisconnectGuard { action: Some(receiver.on_disconnect) };
     serve(request);
-    let answer = pending.answer.await;
+    let response = receiver.response.await;
     watch.disarm();
-    answer
+    response
 }
 
-/// Does what a request wants done if its caller hangs up: the library then drops the future that
-/// waits for the answer, and this with it.
-struct HangUpWatch {
-    action: Option<oneshot::Receiver<HangUpAction>>,
+/// Runs a request's action when its caller disconnects: hyper then drops the future that waits for
+/// the response, which drops this value.
+struct DisconnectGuard {
+    action: Option<oneshot::Receiver<DisconnectAction>>,
 }
 
-impl HangUpWatch {
+impl DisconnectGuard {
     fn disarm(mut self) {
         self.action = None;
     }
 }
 
-impl Drop for HangUpWatch {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         let action = self.action.take().and_then(|mut action| action.try_recv().ok());
         if let Some(action) = action {
@@ -99,22 +103,25 @@
     }
 }
 
-/// A connection that holds back the refusals the library writes by itself.
+/// A stream that suppresses the error responses that hyper generates, because they carry no result
+/// code.
 ///
-/// They have no number. The library writes one as the last thing on a connection, with a status of
-/// 4xx and without a content type, which every answer of this project has.
-struct Gate {
+/// hyper writes such a response as the last one of a connection, with a 4xx status and without a
+/// content type. Every response of this project has a content type.
+struct ErrorFilter {
     stream: TcpStream,
-    swallowed: bool,
+    /// Whether an error response was suppressed.
+    is_triggered: bool,
 }
 
-fn is_bare_refusal(buf: &[u8]) -> bool {
+/// Returns whether the bytes are an error response generated by hyper.
+fn is_hyper_error(buf: &[u8]) -> bool {
     let is_refusal = buf.starts_with(b"HTTP/1.1 4") || buf.starts_with(b"HTTP/1.0 4");
     let name = b"content-type";
     is_refusal && !buf.windows(name.len()).any(|part| part.eq_ignore_ascii_case(name))
 }
 
-impl AsyncRead for Gate {
+impl AsyncRead for ErrorFilter {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -124,14 +131,14 @@
     }
 }
 
-impl AsyncWrite for Gate {
+impl AsyncWrite for ErrorFilter {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if is_bare_refusal(buf) {
-            self.swallowed = true;
+        if is_hyper_error(buf) {
+            self.is_triggered = true;
             return Poll::Ready(Ok(buf.len()));
         }
         Pin::new(&mut self.stream).poll_write(cx, buf)
--- a/src/kingcupgrade/transport/http/mod.rs
+++ b/src/kingcupgrade/transport/http/mod.rs
@@ -1,13 +1,14 @@
-//! The server side of HTTP, with one thread for each request and none for an idle connection.
+//! An HTTP server that uses one thread per request but none for idle connections.
 //!
-//! A balancer opens connections in bursts and keeps them. Every connection must be read however
-//! many others are held, accepting must go on after it failed, and a head that can't be read must
-//! get a numbered refusal like any other. The library below gives the protocol; this module gives
-//! those three, and a blocking view of a request to the threads that serve it.
+//! Load balancers open connections in bursts and keep them open. So every connection must be read
+//! however many others are open, accepting must continue after a failure, and a malformed request
+//! head must be answered with a coded refusal like any other request. hyper implements the
+//! protocol; this module adds these three properties, and a blocking interface for the threads that
+//! serve requests.
 
-mod answer;
 mod connection;
 mod request;
+mod response;
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -17,23 +18,24 @@
 
 use tokio::{net, runtime, sync::Notify, time};
 
-pub(crate) use self::answer::refusal_body;
+pub(crate) use self::response::error_body;
 pub use self::{
-    answer::{Answer, AnswerStream, HungUp},
-    request::{PendingAnswer, Request},
+    request::{Request, Responder},
+    response::{Answer, AnswerStream, Disconnected},
 };
 use super::listen::while_in_use;
 use crate::util::{log, process};
 
-/// Threads that read and write the connections of one address.
+/// The number of threads that read and write the connections of a server.
 const CONNECTION_THREADS: usize = 2;
-/// The pause after a failed accept: it fails again at once while file descriptors are short.
+/// The pause after a failed accept: without it, accepting would fail again at once for as long as
+/// the process is out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// What is done with a request; it must hand it to a thread and return at once.
-type Serve = Arc<dyn Fn(Request) + Send + Sync>;
+/// The handler of requests; it must not block, but pass the request to a thread.
+type Handler = Arc<dyn Fn(Request) + Send + Sync>;
 
-/// An address that is served.
+/// A running server.
 #[derive(Clone, Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -41,12 +43,12 @@
 }
 
 impl Server {
-    /// Returns where it listens.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops accepting and closes all connections.
+    /// Stops accepting connections and closes all open ones.
     pub fn stop(&self) {
         self.stop.notify_one();
     }
@@ -54,7 +56,7 @@
 
 /// Listens on an address and calls `serve` with each request.
 ///
-/// `serve` is called on a thread that carries other connections too, so it must return at once.
+/// `serve` is called on a thread that drives other connections too, so it must not block.
 ///
 /// # Errors
 ///
@@ -86,11 +88,11 @@
     Ok(server)
 }
 
-/// Accepts connections for good.
+/// Accepts connections for as long as the server runs.
 ///
-/// An accept fails while the process is out of file descriptors. An instance that stopped
-/// accepting then would go on looking healthy and answer nobody.
-async fn accept_all(listener: net::TcpListener, serve: Serve) {
+/// Accepting fails while the process is out of file descriptors. An instance that stopped accepting
+/// because of that would still look healthy but serve nobody.
+async fn accept_all(listener: net::TcpListener, serve: Handler) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
--- a/src/kingcupgrade/transport/http/request.rs
+++ b/src/kingcupgrade/transport/http/request.rs
@@ -1,4 +1,4 @@
-//! A request as the thread sees it that serves it.
+//! The blocking interface to a request for the thread that serves it.
 
 use std::{future::poll_fn, pin::Pin, time::Duration};
 
@@ -9,39 +9,39 @@
 };
 use tokio::{runtime, sync::oneshot, time};
 
-use super::answer::{Answer, AnswerBody, AnswerStream};
+use super::response::{Answer, AnswerStream, ResponseBody};
 use crate::core::{Code, code::CodedError};
 
-/// How long a caller may take to send a body.
-const BODY_PATIENCE: Duration = Duration::from_secs(30);
+/// The time-out for reading a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A caller's request.
 pub struct Request {
     head: Parts,
     body: Incoming,
-    answer: PendingAnswer,
-    hung_up: oneshot::Sender<HangUpAction>,
+    responder: Responder,
+    on_disconnect: oneshot::Sender<DisconnectAction>,
     connections: runtime::Handle,
 }
 
-/// What is done when the caller hangs up before its answer begins.
-pub(super) type HangUpAction = Box<dyn FnOnce() + Send>;
+/// The action to be run if the caller disconnects before the response begins.
+pub(super) type DisconnectAction = Box<dyn FnOnce() + Send>;
 
-/// The connection's ends of a request.
-pub(super) struct Pending {
-    pub(super) answer: oneshot::Receiver<Response<AnswerBody>>,
-    pub(super) hung_up: oneshot::Receiver<HangUpAction>,
+/// The receiving ends of a request's channels, held by the task of its connection.
+pub(super) struct ResponseReceiver {
+    pub(super) response: oneshot::Receiver<Response<ResponseBody>>,
+    pub(super) on_disconnect: oneshot::Receiver<DisconnectAction>,
 }
 
 impl Request {
-    pub(super) fn new(request: hyper::Request<Incoming>) -> (Request, Pending) {
+    pub(super) fn new(request: hyper::Request<Incoming>) -> (Request, ResponseReceiver) {
         let (head, body) = request.into_parts();
-        let (tx, answer) = oneshot::channel();
-        let (action_tx, hung_up) = oneshot::channel();
+        let (tx, response) = oneshot::channel();
+        let (action_tx, on_disconnect) = oneshot::channel();
         let connections = runtime::Handle::current();
-        let answer_tx = PendingAnswer { tx };
-        let request = Request { head, body, answer: answer_tx, hung_up: action_tx, connections };
-        (request, Pending { answer, hung_up })
+        let responder = Responder { tx };
+        let request = Request { head, body, responder, on_disconnect: action_tx, connections };
+        (request, ResponseReceiver { response, on_disconnect })
     }
 
     /// Returns the method.
@@ -49,17 +49,17 @@
         self.head.method.as_str()
     }
 
-    /// Returns path and query.
+    /// Returns the path and query.
     pub fn url(&self) -> &str {
         self.head.uri.path_and_query().map_or("/", |url| url.as_str())
     }
 
-    /// Returns a header that is plain text.
+    /// Returns the value of a header if it is present and consists of visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns the headers that are plain text.
+    /// Returns the headers whose values consist of visible ASCII.
     pub fn headers(&self) -> impl Iterator<Item = (&str, &str)> {
         let headers = self.head.headers.iter();
         headers.filter_map(|(name, value)| Some((name.as_str(), value.to_str().ok()?)))
@@ -69,56 +69,59 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if it has more than `limit` bytes, breaks off, or takes too long.
+    /// Returns an error if the body exceeds `limit` bytes, is incomplete, or doesn't arrive in
+    /// time.
     pub fn read_body(&mut self, limit: usize) -> Result<Vec<u8>, CodedError> {
         let body = &mut self.body;
-        let reading = async { time::timeout(BODY_PATIENCE, collect(body, limit)).await };
-        let too_slow = |_| CodedError::new(Code::BadRequest, "the body took too long");
+        let reading = async { time::timeout(BODY_TIMEOUT, collect(body, limit)).await };
+        let too_slow = |_| CodedError::new(Code::BadRequest, "timed out reading the request body");
         self.connections.block_on(reading).map_err(too_slow)?
     }
 
-    /// Reads a body of text.
+    /// Reads the body as text.
     ///
     /// # Errors
     ///
-    /// Returns an error if the body can't be read or is no UTF-8.
+    /// Returns an error if the body can't be read or is not valid UTF-8.
     pub fn read_text(&mut self, limit: usize) -> Result<String, CodedError> {
         let body = self.read_body(limit)?;
         String::from_utf8(body).map_err(|err| CodedError::new(Code::BadRequest, err.to_string()))
     }
 
-    /// Has `action` done if the caller hangs up before its answer begins.
-    pub fn on_hang_up(self, action: impl FnOnce() + Send + 'static) -> PendingAnswer {
-        // A caller who is gone already lets the action be dropped here, undone; the thread that
-        // serves the request finds out when it answers.
-        let _ = self.hung_up.send(Box::new(action));
-        self.answer
+    /// Registers an action to be run if the caller disconnects before the response begins.
+    pub fn on_disconnect(self, action: impl FnOnce() + Send + 'static) -> Responder {
+        // If the caller has already disconnected, the action is dropped here without being run; the
+        // thread that serves the request finds out when it responds.
+        let _ = self.on_disconnect.send(Box::new(action));
+        self.responder
     }
 
-    /// Answers with a whole answer.
-    pub fn respond(self, answer: Answer) {
-        self.answer.respond(answer);
+    /// Sends a complete response.
+    pub fn respond(self, response: Answer) {
+        self.responder.respond(response);
     }
 
-    /// Begins an answer whose body comes in pieces.
+    /// Begins a response whose body is streamed.
     pub fn stream(self, head: Answer) -> AnswerStream {
-        self.answer.stream(head)
+        self.responder.stream(head)
     }
 }
 
-/// An answer that has not begun.
-pub struct PendingAnswer {
-    tx: oneshot::Sender<Response<AnswerBody>>,
+/// A handle for sending the response to a request.
+pub struct Responder {
+    tx: oneshot::Sender<Response<ResponseBody>>,
 }
 
-impl PendingAnswer {
-    /// Answers with a whole answer.
-    pub fn respond(self, answer: Answer) {
-        // A caller that is gone needs no answer; one that must know asks again under its key.
-        let _ = self.tx.send(answer.into_whole());
+impl Responder {
+    /// Sends a complete response.
+    pub fn respond(self, response: Answer) {
+        // Sending fails if the caller has disconnected; it can retry with its idempotency key if it
+        // needs the response.
+        let _ = self.tx.send(response.into_complete());
     }
 
-    /// Begins an answer whose body comes in pieces. A caller that is gone shows at the first one.
+    /// Begins a response whose body is streamed. If the caller has disconnected, the first write
+    /// fails.
     pub fn stream(self, head: Answer) -> AnswerStream {
         let (stream, response) = head.into_stream();
         let _ = self.tx.send(response);
@@ -127,7 +130,12 @@
 }
 
 async fn collect(body: &mut Incoming, limit: usize) -> Result<Vec<u8>, CodedError> {
-    let too_large = || CodedError::new(Code::BodyTooLarge, format!("at most {limit} bytes"));
+    let too_large = || {
+        CodedError::new(
+            Code::BodyTooLarge,
+            format!("the request body may have at most {limit} bytes"),
+        )
+    };
     if body.size_hint().lower() > limit as u64 {
         return Err(too_large());
     }
