--- a/src/kingcupgrade/transport/peers.rs
+++ b/src/kingcupgrade/transport/peers.rs
@@ -1,8 +1,9 @@
 //! Connections between instances.
 //!
-//! Every instance dials those it writes to and reads from those that dial it, so each connection
-//! carries messages one way. Nothing is kept for a peer that can't be reached: all protocols above
-//! survive lost messages, and an old message delivered late would only mislead.
+//! Every instance connects to those that it sends messages to, and receives messages on the
+//! connections that it accepts, so each connection carries messages in one direction only. No
+//! messages are stored for an unreachable peer: all protocols above tolerate lost messages, and a
+//! stale message delivered late would only mislead.
 
 use std::{
     collections::BTreeMap,
@@ -24,7 +25,7 @@
     tungstenite::{Message as Packet, protocol::WebSocketConfig},
 };
 
-use super::{Event, listen::while_in_use};
+use super::{Event, listen::retry_while_in_use};
 use crate::{
     coordination::node::Input,
     core::{Instance, Settings},
@@ -35,33 +36,32 @@
     util::{log, process, random},
 };
 
-/// Messages that may wait for one peer's connection.
+/// The maximum number of messages queued for a peer.
 const QUEUE_LEN: usize = 4_096;
-/// How long connecting may take: a machine without power answers nothing, and one that is back is
-/// met by the next attempt only.
+/// The time-out for connecting. A machine without power doesn't respond at all, and once it is back
+/// only a new attempt reaches it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long connecting and the handshake may take.
+/// The time-out for connecting and the handshake together.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The pause after a failed dial.
 const DIAL_PAUSE: Duration = Duration::from_millis(200);
-/// How soon after a message a connection's other end is asked for a sign of life. One ping then
-/// confirms all that was written until then.
+/// How long after a message a ping is sent. Its pong then confirms all messages written before it.
 const PING_DELAY: Duration = Duration::from_millis(400);
-/// How often it is asked when nothing is written.
+/// The interval of pings while no messages are written.
 const IDLE_PING_INTERVAL: Duration = Duration::from_millis(2_000);
-/// A connection without a sign of life for this long is replaced.
+/// A connection is replaced if the peer sends nothing for this long while a confirmation is due.
 ///
-/// Something between the two ends may have lost track of it: it then stays open and silent for
-/// good, while a new one works at once.
+/// A device between the two ends may have lost the connection's state. The connection then stays
+/// open but silent indefinitely, whereas a new one works at once.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1_300);
-/// A connection nothing was written to for this long is closed.
+/// A connection is closed if no messages are written for this long.
 const IDLE_LIMIT: Duration = Duration::from_secs(60);
 
-/// Bytes read at once. The library fills a buffer of this size with zeros before each read and keeps
-/// it for each connection; most messages are shorter.
+/// The size of the read buffer. tungstenite fills a buffer of this size with zeros before each read
+/// and keeps one per connection; most messages are shorter.
 const READ_BUF_LEN: usize = 8 << 10;
 
-/// What connections bring.
+/// An event of the connections to and from other instances.
 #[derive(Debug)]
 pub enum PeerEvent {
     /// A message arrived from an authenticated instance.
@@ -70,34 +70,35 @@
     DialFailed {
         /// The instance.
         instance: Instance,
-        /// Whether its machine answered that no such process listens; otherwise it is silent.
+        /// Whether the connection was refused, because no process listens on the port. Otherwise
+        /// the attempt failed without such a response.
         refused: bool,
     },
 }
 
-/// Takes what connections bring; called on the thread that reads them, so it must return at once.
+/// The receiver of events; called on the thread that drives the connections, so it must not block.
 pub type PeerSink = Arc<dyn Fn(PeerEvent) + Send + Sync>;
-/// Finds where an instance listens.
+/// Returns the address on which an instance listens, if it is known.
 pub type AddressBook = Arc<dyn Fn(&Instance) -> Option<SocketAddr> + Send + Sync>;
 
-/// How an instance meets the others.
+/// The configuration of an instance's connections to the others.
 #[derive(Clone)]
 pub struct PeerConfig {
-    /// Its name.
+    /// The name of this instance.
     pub instance: Instance,
-    /// Where it listens.
+    /// The address on which this instance listens.
     pub address: SocketAddr,
-    /// The secret that all instances share.
+    /// The secret shared by all instances.
     pub fleet_key: Arc<str>,
-    /// Where the others listen.
+    /// The addresses of the other instances.
     pub addresses: AddressBook,
-    /// What is done with what they say.
+    /// The receiver of events.
     pub sink: PeerSink,
 }
 
 impl PeerConfig {
-    /// Describes how an instance whose settings list the others meets them; what they say goes to
-    /// its control thread.
+    /// Creates the configuration for an instance whose settings list the others. Events go to its
+    /// control thread.
     pub fn of(settings: &Arc<Settings>, tx: mpsc::Sender<Event>) -> PeerConfig {
         let listed = settings.clone();
         let sink = move |event| {
@@ -107,7 +108,7 @@
                     Input::DialFailed { instance, refused }
                 }
             };
-            // Without the control thread the process is about to end.
+            // Sending fails only while the process exits, after the control thread has ended.
             let _ = tx.send(Event::Input(input));
         };
         PeerConfig {
@@ -129,15 +130,15 @@
 }
 
 impl Peers {
-    /// Starts the thread that reads and writes, listening on this instance's address.
+    /// Listens on this instance's address, and starts the thread that drives all connections.
     ///
     /// # Errors
     ///
     /// Returns an error if the address can't be listened on.
     pub fn start(cfg: PeerConfig) -> anyhow::Result<Peers> {
-        // By the standard library, since the caller may run on an async runtime itself.
+        // Bound with the standard library because the current thread may be in another runtime.
         let bind = || std::net::TcpListener::bind(cfg.address);
-        let listener = while_in_use(cfg.address, bind)?;
+        let listener = retry_while_in_use(cfg.address, bind)?;
         listener.set_nonblocking(true)?;
         let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
         let listener = {
@@ -152,12 +153,13 @@
         Ok(Peers { queues: Arc::default(), handle, cfg })
     }
 
-    /// Sends a message, or drops it if its peer can't keep up or is not known.
+    /// Queues a message for a peer. The message is dropped if the queue is full or the peer's
+    /// address is unknown.
     pub fn send(&self, to: &Instance, message: &Message) {
         self.send_payload(to, Payload::new(message));
     }
 
-    /// Sends the same message to several peers; it is put into bytes once.
+    /// Queues a message for several peers, serializing it only once.
     pub fn send_all(&self, to: &[Instance], message: &Message) {
         let payload = Payload::new(message);
         for peer in to {
@@ -196,13 +198,13 @@
             Ok((stream, _)) => {
                 tokio::spawn(receive_all(stream, cfg.clone()));
             }
-            // Out of file descriptors, most likely; a pause lets some be closed.
+            // The process is probably out of file descriptors; a pause lets some be closed.
             Err(_) => tokio::time::sleep(DIAL_PAUSE).await,
         }
     }
 }
 
-/// Reads one peer's messages until the connection ends or proves to be a stranger's.
+/// Receives messages from a peer until the connection ends or a frame fails authentication.
 async fn receive_all(stream: TcpStream, cfg: PeerConfig) {
     let _ = stream.set_nodelay(true);
     let accepted = timeout(DIAL_TIMEOUT, accept_async_with_config(stream, Some(config()))).await;
@@ -224,7 +226,8 @@
     }
 }
 
-/// Passes on what one frame holds; the first one names the sender of all.
+/// Authenticates a frame and passes its message on. The first frame of a connection contains no
+/// message but the sender's name.
 fn receive(
     channel: &mut Channel,
     from: &mut Option<Instance>,
@@ -240,7 +243,7 @@
     Ok(())
 }
 
-/// Writes to one peer.
+/// Maintains the connection to a peer and writes the queued messages.
 struct Dialer {
     peer: Instance,
     address: SocketAddr,
@@ -276,9 +279,9 @@
         stream.set_nodelay(true)?;
         let url = format!("ws://{}/", self.address);
         let (mut socket, _) = client_async_with_config(url, stream, Some(config())).await?;
-        let hello = socket.next().await;
-        let Some(Ok(Packet::Binary(nonce))) = hello else {
-            anyhow::bail!("the peer did not greet")
+        let first = socket.next().await;
+        let Some(Ok(Packet::Binary(nonce))) = first else {
+            anyhow::bail!("the peer sent no nonce")
         };
         let nonce: [u8; NONCE_LEN] = nonce.as_ref().try_into()?;
         let mut channel = Channel::new(&self.cfg.fleet_key, nonce);
@@ -287,7 +290,7 @@
         Ok((socket, channel))
     }
 
-    /// Writes until the connection is idle, broken or silent.
+    /// Writes messages until the connection has been idle for too long, fails, or is silent.
     async fn write(
         &self,
         mut socket: Socket,
@@ -297,7 +300,7 @@
     ) {
         let mut next = Some(first);
         let mut written = Instant::now();
-        // Since when something is under way that no sign of life has followed.
+        // When the oldest message or ping was written that the peer hasn't confirmed yet.
         let mut unconfirmed = None;
         let mut ping = written + PING_DELAY;
         let mut pinged: Option<Instant> = None;
@@ -327,7 +330,7 @@
                 packet = socket.next() => match packet {
                     Some(Ok(_)) => {
                         let now = Instant::now();
-                        // What was written after the ping is not confirmed by its answer.
+                        // A pong doesn't confirm messages that were written after its ping.
                         let is_all = pinged.is_none_or(|pinged| written <= pinged);
                         unconfirmed = (!is_all).then_some(now);
                         ping = now + if is_all { IDLE_PING_INTERVAL } else { PING_DELAY };
@@ -356,13 +359,13 @@
     }
 }
 
-/// Tells whether the peer's machine answered that nothing listens there.
+/// Returns whether the peer's host refused the connection because nothing listens on the port.
 fn is_refusal(err: &anyhow::Error) -> bool {
     let err = err.downcast_ref::<std::io::Error>();
     err.is_some_and(|err| err.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-/// Sends a packet; returns false if the connection is of no use any more.
+/// Sends a packet; returns false if the connection has failed or the write timed out.
 async fn send(socket: &mut Socket, packet: Packet) -> bool {
     matches!(timeout(SILENCE_LIMIT, socket.send(packet)).await, Ok(Ok(())))
 }
