--- a/src/kingcupgrade/transport/http/mod.rs
+++ b/src/kingcupgrade/transport/http/mod.rs
@@ -23,7 +23,7 @@
     request::{Request, Responder},
     response::{Answer, AnswerStream, Disconnected},
 };
-use super::listen::while_in_use;
+use super::listen::retry_while_in_use;
 use crate::util::{log, process};
 
 /// The number of threads that read and write the connections of a server.
@@ -66,7 +66,7 @@
     address: SocketAddr,
     serve: impl Fn(Request) + Send + Sync + 'static,
 ) -> anyhow::Result<Server> {
-    let listener = while_in_use(address, || TcpListener::bind(address))?;
+    let listener = retry_while_in_use(address, || TcpListener::bind(address))?;
     listener.set_nonblocking(true)?;
     let runtime = runtime::Builder::new_multi_thread()
         .worker_threads(CONNECTION_THREADS)
--- a/src/kingcupgrade/transport/listen.rs
+++ b/src/kingcupgrade/transport/listen.rs
@@ -1,7 +1,7 @@
-//! Listening on an address.
+//! Binding of listeners.
 //!
-//! A process listens on all its addresses before it dials anybody: the local end of a connection
-//! may be given the very port that is to be listened on.
+//! A process binds all its listeners before it opens any outgoing connection: the kernel may assign
+//! the port of a listener that isn't bound yet to the local end of an outgoing connection.
 
 use std::{
     io,
@@ -14,15 +14,16 @@
 
 use crate::util::log;
 
-/// Connections that may wait to be accepted: a caller that finds no room there hears nothing for a
-/// second and gives up, where a refusal would send it to another entry at once.
+/// The listen backlog. If it is full, a caller's SYN is dropped, and the caller hears nothing for a
+/// second and gives up; a refused connection would send it to another entry at once.
 const BACKLOG: u32 = 4_096;
-/// How long an address may be in use: a process of before may still be ending.
-const IN_USE_PATIENCE: Duration = Duration::from_secs(5);
-/// The pause before the next try.
+/// How long to retry while an address is in use: the previous process may still be shutting down.
+const IN_USE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The pause between two tries.
 const IN_USE_PAUSE: Duration = Duration::from_millis(50);
 
-/// Listens on an address, waiting while it is in use. Blocks, and so is for the start of a process.
+/// Listens on an address, and retries while it is in use. Blocks the thread, so it is meant for the
+/// start of a process.
 ///
 /// # Errors
 ///
@@ -30,33 +31,33 @@
 ///
 /// # Panics
 ///
-/// Panics outside of a runtime.
+/// Panics if called outside of a Tokio runtime.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    while_in_use(address, || {
+    retry_while_in_use(address, || {
         let socket = match address {
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
-        // A process that starts again must get the address of the one before.
+        // A restarted process must be able to bind its predecessor's address.
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         socket.listen(BACKLOG)
     })
 }
 
-/// Tries again while the address is in use.
-pub(super) fn while_in_use<T>(
+/// Binds a socket, and retries while the address is in use.
+pub(super) fn retry_while_in_use<T>(
     address: SocketAddr,
     bind: impl Fn() -> io::Result<T>,
 ) -> io::Result<T> {
     let began = Instant::now();
-    let mut is_told = false;
+    let mut is_logged = false;
     loop {
         match bind() {
             Err(err)
-                if err.kind() == io::ErrorKind::AddrInUse && began.elapsed() < IN_USE_PATIENCE =>
+                if err.kind() == io::ErrorKind::AddrInUse && began.elapsed() < IN_USE_TIMEOUT =>
             {
-                if !std::mem::replace(&mut is_told, true) {
+                if !std::mem::replace(&mut is_logged, true) {
                     log::warning("address-in-use", &address);
                 }
                 thread::sleep(IN_USE_PAUSE);
