--- a/src/kingcupgrade/transport/peers.rs
+++ b/src/kingcupgrade/transport/peers.rs
@@ -300,7 +300,7 @@
     ) {
         let mut next = Some(first);
         let mut written = Instant::now();
-        // When the oldest message or ping was written that the peer hasn't confirmed yet.
+        // Since when there is unconfirmed data and nothing has been received from the peer.
         let mut unconfirmed = None;
         let mut ping = written + PING_DELAY;
         let mut pinged: Option<Instant> = None;
