--- a/src/kingcupgrade/transport/controls.rs
+++ b/src/kingcupgrade/transport/controls.rs
@@ -1,4 +1,4 @@
-//! A control instance's service to operators who replace the whole configuration.
+//! The HTTP interface of a control instance for operators who replace the complete configuration.
 
 use std::{convert::Infallible, rc::Rc, sync::Arc};
 
@@ -30,27 +30,30 @@
     util::{log, random},
 };
 
-/// How long a change or a question may take here. Operators ask another instance after a second
-/// without an answer, so a later one would reach nobody.
-const PATIENCE: Millis = Millis(900);
-/// Bytes of a configuration at most: an entry of 160 MB holds it as text and decoded, and the next
-/// one beside it while that is put in force.
+/// The time-out of a change or a read. Operators try another instance if they have no response
+/// after a second, so a later response would reach nobody.
+const RECORD_TIMEOUT: Millis = Millis(900);
+/// The maximum length of a configuration in bytes. An entry, which has 160 MB of memory, holds the
+/// configuration both as text and decoded, and for a moment also the next one while it takes
+/// effect.
 const MAX_CONFIGURATION_LEN: usize = 4 << 20;
-/// How long a call may take to arrive.
+/// The time-out for reading a request head or body.
 const READ_TIMEOUT: Millis = Millis(10_000);
 /// The pause after a failed accept.
 const ACCEPT_PAUSE: Millis = Millis(50);
-/// How long a control instance that stops still answers: the lead is handed over meanwhile.
-const HAND_OVER: Millis = Millis(400);
+/// How long a control instance that is shutting down still responds; meanwhile it hands over the
+/// leadership.
+const HAND_OVER_TIME: Millis = Millis(400);
 
-struct Controls<E> {
+/// The state shared by the connections of operators.
+struct OperatorServer<E> {
     edge: Arc<E>,
     fleet: FleetHandle,
 }
 
-type Answer = Response<Full<Bytes>>;
+type OperatorResponse = Response<Full<Bytes>>;
 
-/// Runs a control instance until it is told to stop.
+/// Runs a control instance until it receives SIGTERM.
 ///
 /// # Errors
 ///
@@ -68,14 +71,16 @@
     settings: Arc<FleetSettings>,
     signals: EarlySignals,
 ) -> anyhow::Result<()> {
-    let address = settings.operator_address.context("the settings name no operators' address")?;
-    let listener = listen(address).with_context(|| format!("operators at {address}"))?;
+    let address =
+        settings.operator_address.context("the settings contain no address for operators")?;
+    let listener =
+        listen(address).with_context(|| format!("could not listen for operators on {address}"))?;
     metrics::start(settings.metrics_address).await.context("metrics")?;
     let fleet = FleetHandle::start(settings.clone(), Box::new(|_| {}))?;
     let mut tasks = EssentialTasks::default();
     tasks.spawn("settings", reload::follow(edge.clone(), fleet.clone(), settings.clone()));
-    let controls = Rc::new(Controls { edge, fleet: fleet.clone() });
-    tasks.spawn("operators", accept_all(controls, listener));
+    let server = Rc::new(OperatorServer { edge, fleet: fleet.clone() });
+    tasks.spawn("operators", accept_all(server, listener));
     log::event("started", &settings.instance());
     let mut terminated = signal(SignalKind::terminate())?;
     if !signals.is_terminated() {
@@ -86,19 +91,19 @@
     }
     log::event("draining", &settings.instance());
     fleet.tell(FleetInput::Drain);
-    sleep(HAND_OVER.as_duration()).await;
+    sleep(HAND_OVER_TIME.as_duration()).await;
     log::event("stopped", &settings.instance());
     Ok(())
 }
 
 async fn accept_all<E: Edge>(
-    controls: Rc<Controls<E>>,
+    server: Rc<OperatorServer<E>>,
     listener: TcpListener,
 ) -> anyhow::Result<()> {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(serve_connection(controls.clone(), stream));
+                tokio::task::spawn_local(serve_connection(server.clone(), stream));
             }
             Err(err) => {
                 log::warning("accept-failed", &err.to_string());
@@ -108,21 +113,22 @@
     }
 }
 
-async fn serve_connection<E: Edge>(controls: Rc<Controls<E>>, stream: TcpStream) {
+async fn serve_connection<E: Edge>(server: Rc<OperatorServer<E>>, stream: TcpStream) {
     let service = service_fn(|request| {
-        let controls = controls.clone();
-        async move { Ok::<_, Infallible>(controls.serve(request).await) }
+        let server = server.clone();
+        async move { Ok::<_, Infallible>(server.serve(request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(READ_TIMEOUT.as_duration())
         .serve_connection(TokioIo::new(stream), service);
-    // An operator that broke off asks again.
+    // Errors are ignored because an operator whose connection fails can retry.
     let _ = connection.await;
 }
 
-impl<E: Edge> Controls<E> {
-    async fn serve(&self, request: Request<Incoming>) -> Answer {
+impl<E: Edge> OperatorServer<E> {
+    /// Dispatches a request to the operation that its method and path denote.
+    async fn serve(&self, request: Request<Incoming>) -> OperatorResponse {
         let call = self.edge.operator_call(request.method(), request.uri().path());
         let reading = Limited::new(request.into_body(), MAX_CONFIGURATION_LEN).collect();
         let body = match timeout(READ_TIMEOUT.as_duration(), reading).await {
@@ -139,62 +145,64 @@
             Some(OperatorCall::Read) => self.read().await,
             Some(OperatorCall::SetDomain { domain, out }) => {
                 let Ok(change) = random::number() else {
-                    return refusal(Code::NotLeader, "no random number for the change");
+                    return refusal(Code::NotLeader, "could not generate a random change id");
                 };
                 let change = format!("{change:016x}");
                 self.change(Command::SetDomain { change, domain, out }).await
             }
-            None => refusal(Code::NothingThere, "no such call"),
+            None => refusal(Code::NothingThere, "unknown method or path"),
         }
     }
 
-    async fn replace(&self, body: &[u8]) -> Answer {
+    async fn replace(&self, body: &[u8]) -> OperatorResponse {
         let decoded = self.edge.decode_configuration(body);
         let configuration = match decoded {
             Ok(configuration) => configuration,
             Err(err) => return refusal(err.code, &err.detail),
         };
-        // Only text decodes.
+        // The conversion loses nothing: a body that could be decoded is valid UTF-8.
         let text: Arc<str> = String::from_utf8_lossy(body).into();
         let version = configuration.version;
         self.change(Command::Replace(StoredConfiguration { version, text, index: 0 })).await
     }
 
-    async fn change(&self, command: Command) -> Answer {
-        match self.fleet.ask(command, PATIENCE).await {
+    /// Submits a change of the record, and responds with its revision.
+    async fn change(&self, command: Command) -> OperatorResponse {
+        match self.fleet.ask(command, RECORD_TIMEOUT).await {
             Some(Reply::Accepted { revision, index }) => {
                 log::event("accepted", &(revision, index));
-                answer(StatusCode::OK, json!({ "revision": revision }).to_string().into())
+                json_response(StatusCode::OK, json!({ "revision": revision }).to_string().into())
             }
-            Some(Reply::Refused(err)) => refuse(&err),
-            _ => refusal(Code::NotLeader, "the record gave no answer"),
+            Some(Reply::Refused(err)) => refusal_of(&err),
+            _ => refusal(Code::NotLeader, "the leader of the record did not respond in time"),
         }
     }
 
-    async fn read(&self) -> Answer {
-        match self.fleet.ask(Command::Read, PATIENCE).await {
-            Some(Reply::Whole(Some(whole))) => {
-                answer(StatusCode::OK, Bytes::copy_from_slice(whole.text.as_bytes()))
+    async fn read(&self) -> OperatorResponse {
+        match self.fleet.ask(Command::Read, RECORD_TIMEOUT).await {
+            Some(Reply::Whole(Some(stored))) => {
+                json_response(StatusCode::OK, Bytes::copy_from_slice(stored.text.as_bytes()))
             }
             Some(Reply::Whole(None)) => refusal(Code::NotReady, "there is no configuration yet"),
-            Some(Reply::Refused(err)) => refuse(&err),
-            _ => refusal(Code::NotLeader, "the record gave no answer"),
+            Some(Reply::Refused(err)) => refusal_of(&err),
+            _ => refusal(Code::NotLeader, "the leader of the record did not respond in time"),
         }
     }
 }
 
-fn refuse(err: &CodedError) -> Answer {
+fn refusal_of(err: &CodedError) -> OperatorResponse {
     refusal(err.code, &err.detail)
 }
 
-fn refusal(code: Code, detail: &str) -> Answer {
+/// Logs a refusal, and builds its response.
+fn refusal(code: Code, detail: &str) -> OperatorResponse {
     log::event("operator-refused", &(code.number(), detail));
-    let status = StatusCode::from_u16(code.status()).expect("codes have HTTP statuses");
+    let status = StatusCode::from_u16(code.status()).expect("every code maps to an HTTP status");
     let body = json!({ "code": code.number(), "text": code.text(), "detail": detail });
-    answer(status, body.to_string().into())
+    json_response(status, body.to_string().into())
 }
 
-fn answer(status: StatusCode, body: Bytes) -> Answer {
+fn json_response(status: StatusCode, body: Bytes) -> OperatorResponse {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
