--- a/src/kingcupgrade/transport/operators.rs
+++ b/src/kingcupgrade/transport/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' requests, metrics and health checks over HTTP.
+//! The HTTP server for operators' requests, metrics and health checks.
 
 use std::{
     sync::{
@@ -21,12 +21,12 @@
     protocol::operator::{OPERATOR_PATH, OperatorReply, OperatorRequest},
 };
 
-/// How long an operator's request may take.
-const PATIENCE: Duration = Duration::from_secs(12);
-/// The largest request, in bytes.
+/// The time-out of an operator's request.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(12);
+/// The maximum length of a request body, in bytes.
 const MAX_REQUEST_LEN: usize = 8 << 20;
 
-/// Starts to serve operators.
+/// Starts the server for operators.
 ///
 /// # Errors
 ///
@@ -39,8 +39,8 @@
 ) -> anyhow::Result<()> {
     http::start("operators", settings.operator_address, move |request| {
         let (events, metrics, draining) = (events.clone(), metrics.clone(), draining.clone());
-        // A change that waits for its commit must not keep a health check waiting. Without a
-        // thread the request is dropped, and whoever asked asks again.
+        // A change that waits for its commit must not delay a health check, hence the separate
+        // thread. If the thread can't be started, the request is dropped and the client retries.
         let _ = thread::Builder::new()
             .name("operators".to_owned())
             .spawn(move || serve(request, &events, &metrics, &draining));
@@ -54,40 +54,42 @@
     metrics: &PrometheusHandle,
     draining: &AtomicBool,
 ) {
-    let found = match (request.method(), request.url()) {
+    let response = match (request.method(), request.url()) {
         ("GET", "/metrics") => Answer::text(200, metrics.render()),
         ("GET", "/healthz") if draining.load(Ordering::Relaxed) => Answer::text(503, "draining\n"),
         ("GET", "/healthz") => Answer::text(200, "ok\n"),
         ("POST", OPERATOR_PATH) => {
-            let reply = answer(&mut request, events);
+            let reply = handle_request(&mut request, events);
             let status = match &reply {
                 OperatorReply::Failed(err) => err.code.status(),
                 _ => 200,
             };
-            let body = serde_json::to_string(&reply).expect("an answer is plain data");
+            let body = serde_json::to_string(&reply).expect("a reply has only serializable fields");
             Answer::new(status, "application/json", body)
         }
         _ => Answer::text(404, "not found\n"),
     };
-    // An operator who is gone asks again under the same change id.
-    request.respond(found);
+    // An operator who has disconnected can retry with the same change id.
+    request.respond(response);
 }
 
-fn answer(request: &mut Request, events: &mpsc::Sender<Event>) -> OperatorReply {
+/// Passes an operator's request to the node, and waits for the reply.
+fn handle_request(request: &mut Request, events: &mpsc::Sender<Event>) -> OperatorReply {
     let text = match request.read_text(MAX_REQUEST_LEN) {
         Ok(text) => text,
         Err(err) => return OperatorReply::Failed(err),
     };
-    let asked: OperatorRequest = match serde_json::from_str(&text) {
-        Ok(asked) => asked,
+    let decoded: OperatorRequest = match serde_json::from_str(&text) {
+        Ok(decoded) => decoded,
         Err(err) => return failed(Code::BadRequest, err.to_string()),
     };
     let (tx, rx) = mpsc::channel();
-    if events.send(Event::Asked(asked, tx)).is_err() {
+    if events.send(Event::Asked(decoded, tx)).is_err() {
         return failed(Code::Draining, String::new());
     }
-    let overdue = |_| failed(Code::CommitUnknown, "the instance is busy".to_owned());
-    rx.recv_timeout(PATIENCE).unwrap_or_else(overdue)
+    let timed_out =
+        |_| failed(Code::CommitUnknown, "the instance did not reply in time".to_owned());
+    rx.recv_timeout(REPLY_TIMEOUT).unwrap_or_else(timed_out)
 }
 
 fn failed(code: Code, detail: String) -> OperatorReply {
