--- a/src/kingcupgrade/transport/daemon.rs
+++ b/src/kingcupgrade/transport/daemon.rs
@@ -1,4 +1,4 @@
-//! The process of an instance: the thread that owns the node, and the start of all others.
+//! The process of an instance: its start, and the control thread, which owns the node.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -34,12 +34,12 @@
     util::{log, random},
 };
 
-/// How often the node sees time pass.
+/// The interval of the node's ticks.
 const TICK: Duration = Duration::from_millis(25);
-/// Events handled in one turn; their writes share one sync.
+/// The maximum number of events handled at a time; their writes share one sync of the disk.
 const MAX_BATCH: usize = 512;
 
-/// Runs an instance until it is told to stop and has finished what it began.
+/// Runs an instance until it receives SIGTERM or SIGINT and has drained its requests.
 ///
 /// # Errors
 ///
@@ -84,7 +84,7 @@
     Ok(())
 }
 
-/// Opens the replica of an instance that has one.
+/// Opens the replica of the record if this instance is to have one.
 fn open_replica(
     settings: &Settings,
     clock: Clock,
@@ -93,9 +93,9 @@
     else {
         return Ok((None, None));
     };
-    // Numbers up to the founding one are taken.
-    let fresh = random::number()?.max(2);
-    let (disk, contents) = Disk::open(folder, &settings.instance, fresh)?;
+    // 1 is the replica number of the founding members, so new numbers start at 2.
+    let new_number = random::number()?.max(2);
+    let (disk, contents) = Disk::open(folder, &settings.instance, new_number)?;
     if contents.torn > 0 {
         log::warning("torn-write-cut", &contents.torn);
     }
@@ -112,7 +112,7 @@
     peers: Peers,
     watched: Watched,
     view: SharedView,
-    /// For threads started on the way.
+    /// Cloned for the threads that are started later.
     events: mpsc::Sender<Event>,
     callers: BTreeMap<RequestId, mpsc::Sender<Verdict>>,
     operators: BTreeMap<Ticket, mpsc::Sender<OperatorReply>>,
@@ -148,7 +148,7 @@
             self.node.flush(self.clock.now(), unix_ms(), &mut out);
             self.carry_out(out);
             if drain_begun && self.node.is_drained() {
-                // The last answers and messages are on their way in other threads.
+                // Other threads may still be sending the last responses and messages.
                 std::thread::sleep(Duration::from_millis(200));
                 return;
             }
@@ -175,10 +175,10 @@
         }
     }
 
-    /// Carries out a batch: everything for the disk first, with one sync, then the rest.
+    /// Carries out a batch of outputs: first all writes to the disk, with one sync, then the rest.
     ///
-    /// A message may acknowledge any write of the batch. Were one sent before the sync, a crash
-    /// could lose what another instance already counts on.
+    /// A message may acknowledge any write of the batch. If it were sent before the sync, a crash
+    /// could lose data that another instance already relies on.
     fn carry_out(&mut self, outputs: Vec<Output>) {
         let mut writes = Vec::new();
         let mut rest = Vec::new();
@@ -189,14 +189,15 @@
             }
         }
         if !writes.is_empty() && !self.write(writes) {
-            // Nothing that rests on the failed write may leave: no vote, no acknowledgement.
-            rest.retain(|output| !rests_on_disk(output));
+            // Nothing that depends on the failed write may be sent: no vote, no acknowledgement.
+            rest.retain(|output| !depends_on_disk(output));
         }
         for output in rest {
             self.carry_out_one(output);
         }
     }
 
+    /// Writes to the disk and syncs it; returns false if there is no disk or it has failed.
     fn write(&mut self, writes: Vec<Persist>) -> bool {
         let (Some(disk), Some(log)) = (&mut self.disk, self.node.log()) else { return false };
         counter!("kingcup_disk_syncs").increment(1);
@@ -217,7 +218,7 @@
             Output::Send(to, message) => self.peers.send(&to, &message),
             Output::Start { id, upstream, address } => {
                 if let Some(tx) = self.callers.get(&id) {
-                    // A thread that is gone has reported the end of its request already.
+                    // Sending fails if the thread has ended; it has reported the request's end.
                     let _ = tx.send(Verdict::Start(upstream, address));
                 }
             }
@@ -255,8 +256,8 @@
     }
 }
 
-/// Tells whether an output says something about the record.
-fn rests_on_disk(output: &Output) -> bool {
+/// Returns whether an output may only be sent once the writes of its batch are on disk.
+fn depends_on_disk(output: &Output) -> bool {
     use crate::protocol::Message;
     matches!(
         output,
