--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -1,7 +1,7 @@
-//! The thread that owns a [`FleetNode`]: its messages, its disk, its answers.
+//! The control thread of an instance, which owns its [`FleetNode`], its disk and its peers.
 //!
-//! The threads that carry traffic never wait for it. They send it what it should know and read
-//! what it last published.
+//! The thread that serves traffic never waits for the control thread: it sends inputs to it, and
+//! receives updates from it.
 
 use std::{
     collections::BTreeMap,
@@ -34,48 +34,48 @@
     util::{log, process, random},
 };
 
-/// How often the node sees time pass.
+/// The interval of the node's ticks.
 const TICK: Millis = Millis(40);
-/// Events handled in one turn; their writes share one sync.
+/// The maximum number of events handled at a time; their writes share one sync of the disk.
 const MAX_BATCH: usize = 256;
-/// The pause before a disk that failed is tried again.
+/// The pause before a failed disk is opened again.
 const DISK_RETRY: Millis = Millis(400);
-/// Instances of a fleet that finds itself have no secret to share: nobody gives them one. The
-/// frames still prove that nothing was lost or swapped on the way.
+/// The key of a fleet with automatic discovery. Its instances have no shared secret, because none
+/// is configured; the frames' authentication codes still detect lost, swapped and altered ones.
 const OPEN_FLEET_KEY: &str = "kingcupgrade-open-fleet";
 
-/// What the thread is told.
+/// An event for the control thread.
 enum Event {
     Input(FleetInput),
     Asked(Command, Millis, oneshot::Sender<Reply>),
 }
 
-/// What the thread tells the threads that carry traffic.
+/// An update from the control thread.
 #[derive(Debug)]
 pub enum FleetNews {
-    /// The configuration or the standing of a failure domain changed.
+    /// The configuration or the state of a failure domain has changed.
     View(Arc<View>),
-    /// The entries of the fleet are these.
+    /// The set of entries in the fleet has changed.
     Entries(Vec<Resident>),
-    /// Another entry told of its load.
+    /// Another entry has reported its load.
     Heard(Instance, LoadReport),
-    /// Another entry tells what it knows of the platform's list.
+    /// Another entry has sent the platform's list of upstreams, or a change of it.
     Listed(Instance, ListingNews),
-    /// Another entry wants the platform's list.
+    /// Another entry has requested the platform's list of upstreams.
     ListingWanted(Instance),
 }
 
-/// Takes news; called on the control thread, so it must return at once.
+/// The receiver of updates; called on the control thread, so it must not block.
 pub type NewsSink = Box<dyn Fn(FleetNews) + Send>;
 
-/// Talks to the control thread.
+/// A handle to the control thread.
 #[derive(Clone)]
 pub struct FleetHandle {
     tx: mpsc::Sender<Event>,
 }
 
 impl FleetHandle {
-    /// Starts the thread.
+    /// Starts the control thread.
     ///
     /// # Errors
     ///
@@ -84,7 +84,7 @@
         let (tx, rx) = mpsc::channel();
         let clock = Clock::start();
         let control = settings.role == Role::Control;
-        let opened = if control { Some(open_first(&settings, clock)?) } else { None };
+        let opened = if control { Some(open_at_start(&settings, clock)?) } else { None };
         let (disk, machine) = opened.unzip();
         let peers = Peers::start(peer_config(&settings, tx.clone())).context("peers")?;
         let node = FleetNode::new(settings.clone(), machine);
@@ -103,29 +103,29 @@
         Ok(FleetHandle { tx })
     }
 
-    /// Tells the node something; nothing happens once the thread has ended.
+    /// Sends an input to the node; it is lost if the thread has ended.
     pub fn tell(&self, input: FleetInput) {
         let _ = self.tx.send(Event::Input(input));
     }
 
-    /// Asks the record, and waits for its answer for as long as `patience`.
-    pub async fn ask(&self, command: Command, patience: Millis) -> Option<Reply> {
+    /// Submits a command to the record and returns the reply, if there is one within `timeout`.
+    pub async fn ask(&self, command: Command, timeout: Millis) -> Option<Reply> {
         let (tx, rx) = oneshot::channel();
-        self.tx.send(Event::Asked(command, patience, tx)).ok()?;
+        self.tx.send(Event::Asked(command, timeout, tx)).ok()?;
         rx.await.ok()
     }
 }
 
 fn peer_config(settings: &Arc<FleetSettings>, tx: mpsc::Sender<Event>) -> PeerConfig {
     let instance = settings.instance();
-    let book = settings.clone();
+    let address_book = settings.clone();
     let port = match settings.role {
         Role::Entry => settings.entry_port,
         Role::Control => settings.control_port,
     };
     let sink = move |event| {
         if let PeerEvent::Received(from, message) = event {
-            // Without the control thread the process is about to end.
+            // Sending fails only while the process exits, after the control thread has ended.
             let _ = tx.send(Event::Input(FleetInput::Received(from, message)));
         }
     };
@@ -133,13 +133,14 @@
         instance,
         address: (settings.ip, port).into(),
         fleet_key: OPEN_FLEET_KEY.into(),
-        addresses: Arc::new(move |instance| book.address_of(instance)),
+        addresses: Arc::new(move |instance| address_book.address_of(instance)),
         sink: Arc::new(sink),
     }
 }
 
-/// Opens the data folder at the start of the process, founding a record if the whole fleet starts.
-fn open_first(settings: &FleetSettings, clock: Clock) -> anyhow::Result<(Disk, ControlMachine)> {
+/// Opens the data folder at the start of the process. If the fleet starts for the first time,
+/// founds the record on the seed instances.
+fn open_at_start(settings: &FleetSettings, clock: Clock) -> anyhow::Result<(Disk, ControlMachine)> {
     let folder = settings.data.clone().context("a control instance needs a data folder")?;
     let instance = settings.instance();
     let seeds = settings.seed_instances();
@@ -154,9 +155,9 @@
     folder: &Path,
     clock: Clock,
 ) -> anyhow::Result<(Disk, ControlMachine)> {
-    // Numbers up to the founding one are taken.
-    let fresh = random::number()?.max(2);
-    let (mut disk, contents) = Disk::open(folder, &settings.instance(), fresh)?;
+    // 1 is the replica number of the founding members, so new numbers start at 2.
+    let new_number = random::number()?.max(2);
+    let (mut disk, contents) = Disk::open(folder, &settings.instance(), new_number)?;
     if contents.torn > 0 {
         log::warning("torn-write-cut", &contents.torn);
     }
@@ -167,7 +168,7 @@
     Ok((disk, control))
 }
 
-/// Returns the wall clock in milliseconds since 1970.
+/// Returns the time by the wall clock, in milliseconds since 1970.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
@@ -177,7 +178,7 @@
     clock: Clock,
     node: FleetNode,
     disk: Option<Disk>,
-    /// When a disk that failed is tried again.
+    /// When a failed disk is to be opened again.
     disk_retry: Millis,
     peers: Peers,
     news: NewsSink,
@@ -207,15 +208,15 @@
                 next_tick = now + TICK;
                 self.retry_disk(now, &mut out);
                 self.node.handle(now, unix_ms(), FleetInput::Tick, &mut out);
-                self.show_state(now);
+                self.record_metrics(now);
             }
             self.node.flush(self.clock.now(), unix_ms(), &mut out);
             self.carry_out(out);
         }
     }
 
-    /// Shows how far this instance's configuration is confirmed as metrics.
-    fn show_state(&self, now: Millis) {
+    /// Sets the gauges of the record's index and of the time since the configuration was confirmed.
+    fn record_metrics(&self, now: Millis) {
         let view = self.node.view();
         gauge!("kingcup_record_index").set(view.index() as f64);
         let age = view.confirmed_age(now).unwrap_or(now);
@@ -225,20 +226,20 @@
     fn on_event(&mut self, event: Event, out: &mut Vec<FleetOutput>) {
         let input = match event {
             Event::Input(input) => input,
-            Event::Asked(command, patience, tx) => {
+            Event::Asked(command, timeout, tx) => {
                 let ticket = self.next_ticket;
                 self.next_ticket += 1;
                 self.operators.insert(ticket, tx);
-                FleetInput::Asked(ticket, command, patience)
+                FleetInput::Asked(ticket, command, timeout)
             }
         };
         self.node.handle(self.clock.now(), unix_ms(), input, out);
     }
 
-    /// Opens a disk that failed anew, from what it holds.
+    /// Reopens a failed disk and restores the replica from it, if that is due.
     ///
-    /// After a failed sync the pages that were not written may be gone while the file looks clean,
-    /// so the log is written anew as a whole before anything counts on it.
+    /// After a failed sync, the kernel may have dropped the unwritten pages and marked the file as
+    /// clean, so the whole log is rewritten before anything relies on it.
     fn retry_disk(&mut self, now: Millis, out: &mut Vec<FleetOutput>) {
         if self.settings.role != Role::Control || self.disk.is_some() || now < self.disk_retry {
             return;
@@ -256,10 +257,10 @@
         }
     }
 
-    /// Carries out a batch: everything for the disk first, with one sync, then the rest.
+    /// Carries out a batch of outputs: first all writes to the disk, with one sync, then the rest.
     ///
-    /// A message may acknowledge any write of the batch. Were one sent before the sync, a crash
-    /// could lose what another instance already counts on.
+    /// A message may acknowledge any write of the batch. If it were sent before the sync, a crash
+    /// could lose data that another instance already relies on.
     fn carry_out(&mut self, outputs: Vec<FleetOutput>) {
         let mut writes = Vec::new();
         let mut rest = Vec::new();
@@ -270,14 +271,15 @@
             }
         }
         if !writes.is_empty() && !self.write(writes) {
-            // Nothing that rests on the failed write may leave: no vote, no acknowledgement.
-            rest.retain(|output| !rests_on_disk(output));
+            // Nothing that depends on the failed write may be sent: no vote, no acknowledgement.
+            rest.retain(|output| !depends_on_disk(output));
         }
         for output in rest {
             self.carry_out_one(output);
         }
     }
 
+    /// Writes to the disk and syncs it; returns false if there is no disk or it has failed.
     fn write(&mut self, writes: Vec<Persist>) -> bool {
         let (Some(disk), Some(log)) = (&mut self.disk, self.node.log()) else { return false };
         counter!("kingcup_disk_syncs").increment(1);
@@ -299,7 +301,7 @@
             FleetOutput::SendToAll(to, message) => self.peers.send_all(&to, &message),
             FleetOutput::Answer(ticket, reply) => {
                 if let Some(tx) = self.operators.remove(&ticket) {
-                    // An operator that hung up needs no answer.
+                    // Sending fails if the operator has disconnected.
                     let _ = tx.send(reply);
                 }
             }
@@ -323,8 +325,8 @@
     }
 }
 
-/// Tells whether an output says something about the record.
-fn rests_on_disk(output: &FleetOutput) -> bool {
+/// Returns whether an output may only be sent once the writes of its batch are on disk.
+fn depends_on_disk(output: &FleetOutput) -> bool {
     matches!(
         output,
         FleetOutput::Send(_, Message::Consensus(_) | Message::Record(_)) | FleetOutput::Answer(..)
