--- a/src/kingcupgrade/transport/engines.rs
+++ b/src/kingcupgrade/transport/engines.rs
@@ -1,4 +1,4 @@
-//! Questions and orders to engines, each on a thread of its own; they are few and far between.
+//! Requests and orders to engines. Each has a thread of its own, as they are rare.
 
 use std::{sync::mpsc, thread};
 
@@ -12,26 +12,27 @@
     protocol::order::{ORDER_PATH, OrderRequest, SETUP_PATH, UpstreamOrder},
 };
 
-/// The stack of a thread, in bytes.
+/// The stack size of a thread, in bytes.
 const STACK_LEN: usize = 256 << 10;
-/// The status with which an engine refuses a fencing number lower than the highest it has seen.
+/// The HTTP status with which an engine rejects a fencing number that is lower than the highest one
+/// it has seen.
 const OUTDATED: u16 = 409;
 
-/// Asks an engine and tells the node its answer.
+/// Sends an order to an engine or reads its set-up, and reports the result to the node.
 pub fn ask(clock: Clock, ask: Ask, events: mpsc::Sender<Event>) {
     let run = move || {
         let answer = match &ask.order {
-            // The thread may have begun late, and another instance may hold the lease by now.
+            // If the thread started late, another instance may hold the lease by now.
             Some(_) if clock.now() >= ask.until => {
-                EngineAnswer::Failed("the order was not sent in time".to_owned())
+                EngineAnswer::Failed("the order expired before it could be sent".to_owned())
             }
             Some(order) => send_order(&ask, order),
             None => read_setup(&ask),
         };
-        // The node outlives this thread; only at the very end of the process nobody hears.
+        // The node outlives this thread; sending fails only while the process exits.
         let _ = events.send(Event::Input(Input::EngineAnswered(ask.id, answer)));
     };
-    // Without a thread there is no answer; the node asks again after a while.
+    // If the thread can't be started, no result is reported, and the node tries again later.
     let _ = thread::Builder::new().name("engines".to_owned()).stack_size(STACK_LEN).spawn(run);
 }
 
@@ -51,14 +52,14 @@
         role: order.setup.role.clone(),
         drained: order.setup.drained,
     };
-    let body = serde_json::to_string(&request).expect("an order is plain data");
+    let body = serde_json::to_string(&request).expect("an order has only serializable fields");
     let url = format!("http://{}{ORDER_PATH}", ask.address);
     match agent().post(url).send(body) {
         Ok(response) => match response.status().as_u16() {
             200..=299 => EngineAnswer::Accepted,
             OUTDATED => EngineAnswer::Outdated,
             404 | 405 => EngineAnswer::Unsupported,
-            status => EngineAnswer::Failed(format!("it refused the order with status {status}")),
+            status => EngineAnswer::Failed(format!("the engine rejected the order: HTTP {status}")),
         },
         Err(err) => EngineAnswer::Failed(err.to_string()),
     }
@@ -74,6 +75,6 @@
     let text = response.body_mut().read_to_string().unwrap_or_default();
     match serde_json::from_str(&text) {
         Ok(setup) => EngineAnswer::Setup(setup),
-        Err(err) => EngineAnswer::Failed(format!("its setup can't be read: {err}")),
+        Err(err) => EngineAnswer::Failed(format!("could not decode the engine's set-up: {err}")),
     }
 }
