--- a/src/kingcupgrade/transport/reload.rs
+++ b/src/kingcupgrade/transport/reload.rs
@@ -1,7 +1,7 @@
-//! Settings that change while a process runs.
+//! Reloading of the settings while a process runs.
 //!
-//! The file may change with a signal or without. What can't be read changes nothing: the settings
-//! of before hold on, and a line in the log says so.
+//! The settings file may change with or without a SIGHUP. If the file can't be read, the previous
+//! settings stay in force, and a warning is logged.
 
 use std::{net::IpAddr, sync::Arc, time::Duration};
 
@@ -13,11 +13,11 @@
 use super::{fleet::FleetHandle, gateway::edge::Edge};
 use crate::{coordination::fleet::FleetInput, core::fleet::FleetSettings, util::log};
 
-/// How often the file is read without a signal: joining other control instances a few seconds
-/// late is soon enough, as the known ones tell of them.
+/// How often the file is read without a signal. A few seconds are soon enough for joining new
+/// control instances, as the known ones also announce them.
 const INTERVAL: Duration = Duration::from_secs(3);
 
-/// Follows the settings for good.
+/// Reloads the settings for as long as the process runs.
 pub(super) async fn follow<E: Edge>(
     edge: Arc<E>,
     fleet: FleetHandle,
@@ -27,13 +27,13 @@
     let mut seeds: Vec<IpAddr> = settings.seeds.clone();
     let mut was_readable = true;
     loop {
-        let is_asked = tokio::select! {
+        let is_signalled = tokio::select! {
             _ = signals.recv() => true,
             () = time::sleep(INTERVAL) => false,
         };
         match edge.read_settings() {
             Ok(read) => {
-                if is_asked || read.seeds != seeds {
+                if is_signalled || read.seeds != seeds {
                     log::event("settings-reloaded", &read.seeds);
                 }
                 if read.seeds != seeds {
@@ -43,7 +43,7 @@
                 was_readable = true;
             }
             Err(err) => {
-                if was_readable || is_asked {
+                if was_readable || is_signalled {
                     log::warning("settings-kept", &format!("{err:#}"));
                 }
                 was_readable = false;
--- a/src/kingcupgrade/transport/signals.rs
+++ b/src/kingcupgrade/transport/signals.rs
@@ -1,8 +1,8 @@
-//! Signals that arrive while a process starts.
+//! Handling of signals that arrive while a process starts.
 //!
-//! Until somebody listens for a signal it kills the process. A start may take a while, with a slow
-//! disk above all, and settings change whenever they change: the signal that says so would end the
-//! very process that is about to read them.
+//! Until a handler is installed, SIGTERM and SIGHUP kill the process. Starting may take a while,
+//! particularly with a slow disk, and the settings may change at any time: the SIGHUP that
+//! announces the change would kill the process that is about to read them.
 
 use std::{
     io,
@@ -17,27 +17,27 @@
     flag,
 };
 
-/// Takes signals from the first moment on.
+/// Catches signals from the beginning of the process.
 #[derive(Clone, Debug, Default)]
 pub struct EarlySignals {
     terminated: Arc<AtomicBool>,
 }
 
 impl EarlySignals {
-    /// Begins to take signals.
+    /// Installs the handlers.
     ///
     /// # Errors
     ///
-    /// Returns an error if the system refuses a handler.
+    /// Returns an error if a handler can't be installed.
     pub fn catch() -> io::Result<EarlySignals> {
         let signals = EarlySignals::default();
         flag::register(SIGTERM, signals.terminated.clone())?;
-        // Settings are read after this, so a change before needs no further reading.
+        // The settings are read after this, so that a SIGHUP that arrives earlier can be ignored.
         flag::register(SIGHUP, Arc::default())?;
         Ok(signals)
     }
 
-    /// Tells whether the process was told to stop.
+    /// Returns whether SIGTERM has arrived.
     pub(super) fn is_terminated(&self) -> bool {
         self.terminated.load(Ordering::SeqCst)
     }
--- a/src/kingcupgrade/transport/tasks.rs
+++ b/src/kingcupgrade/transport/tasks.rs
@@ -1,14 +1,14 @@
-//! Tasks that a process can't do without.
+//! Tasks that a process can't run without.
 //!
-//! The runtime catches a task that panics and goes on with the others. An entry whose accepting task
-//! is gone would look healthy and answer nobody, so the process ends with it and is started again.
+//! Tokio catches a task's panic, and the other tasks continue. An entry whose accepting task has
+//! ended would look healthy but serve nobody, so the process ends with the task and is restarted.
 
 use std::future::Future;
 
 use anyhow::Context;
 use tokio::task::{JoinSet, LocalSet};
 
-/// Runs a process's tasks on the thread that calls, until the given one ends.
+/// Runs the tasks of a process on the current thread until the given task ends.
 pub(super) fn run_on_this_thread(
     task: impl Future<Output = anyhow::Result<()>>,
 ) -> anyhow::Result<()> {
@@ -16,12 +16,12 @@
     LocalSet::new().block_on(&runtime, task)
 }
 
-/// The tasks of one process.
+/// The essential tasks of a process.
 #[derive(Default)]
 pub(super) struct EssentialTasks(JoinSet<anyhow::Result<()>>);
 
 impl EssentialTasks {
-    /// Starts a task on the local set.
+    /// Starts a task on the current local set.
     pub(super) fn spawn(
         &mut self,
         name: &'static str,
@@ -30,7 +30,7 @@
         self.0.spawn_local(async move { task.await.context(name) });
     }
 
-    /// Waits until a task fails or panics; one that has done its work is none of these.
+    /// Waits until a task fails or panics, ignoring tasks that complete successfully.
     pub(super) async fn failure(&mut self) -> anyhow::Error {
         while let Some(ended) = self.0.join_next().await {
             match ended {
