--- a/src/kingcupgrade/transport/metrics.rs
+++ b/src/kingcupgrade/transport/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters and histograms of one process, served as text.
+//! Metrics of a process, served in the Prometheus text format.
 //!
-//! Samples of histograms pile up in memory until they are put into their buckets, which the library
-//! does when somebody asks. Nobody may ask for days, so it is also done from time to time.
+//! The exporter keeps histogram samples in memory until it sorts them into buckets, which it does
+//! when metrics are scraped. Nobody may scrape them for days, so it is also done periodically.
 
 use std::{convert::Infallible, net::SocketAddr, time::Duration};
 
@@ -19,46 +19,47 @@
 
 use crate::util::log;
 
-/// Where they are served.
+/// The path of the metrics.
 const PATH: &str = "/metrics";
-/// How often samples are put into their buckets: some thousand samples at the most.
+/// How often samples are sorted into buckets; at most a few thousand accumulate in between.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
-/// A gauge not set for this long is dropped: upstreams get new names with each start, and their
-/// gauges would pile up.
+/// A gauge that has not been set for this long is removed: upstreams get a new name at each start,
+/// so that their gauges would accumulate.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a reader may take to ask.
+/// The time-out for reading the head of a scrape request.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// The pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(200);
-/// The upper ends of histogram buckets, in milliseconds: about doubling, from a plain request in
-/// its own failure domain to the longest deadline.
+/// The upper bounds of histogram buckets in milliseconds, roughly doubling from the latency of a
+/// plain request within its failure domain to the longest deadline.
 const BUCKETS_MS: [f64; 12] =
     [5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1_600.0, 3_200.0, 6_400.0, 15_000.0];
 
-/// Begins to count, and serves the counts at an address if there is one.
+/// Installs the metrics recorder, and serves the metrics on the address if there is one.
 ///
 /// # Errors
 ///
-/// Returns an error if something counts already.
+/// Returns an error if a recorder is already installed.
 pub(crate) async fn start(address: Option<SocketAddr>) -> anyhow::Result<()> {
     let matcher = Matcher::Suffix("_ms".to_owned());
     let builder = PrometheusBuilder::new()
         .set_buckets_for_metric(matcher, &BUCKETS_MS)?
         .idle_timeout(MetricKindMask::GAUGE, Some(IDLE_TIMEOUT));
     let handle = builder.install_recorder()?;
-    tokio::task::spawn_local(keep_up(handle.clone()));
+    tokio::task::spawn_local(run_upkeep(handle.clone()));
     let Some(address) = address else { return Ok(()) };
     match TcpListener::bind(address).await {
         Ok(listener) => {
             tokio::task::spawn_local(accept_all(listener, handle));
         }
-        // Another process of the machine may have the port; callers are served without it.
+        // The port may be in use by another process; callers can be served without metrics.
         Err(err) => log::warning("metrics-not-served", &(address, err.to_string())),
     }
     Ok(())
 }
 
-async fn keep_up(handle: PrometheusHandle) {
+/// Periodically sorts histogram samples into buckets.
+async fn run_upkeep(handle: PrometheusHandle) {
     let mut ticks = interval(UPKEEP_INTERVAL);
     loop {
         ticks.tick().await;
@@ -82,10 +83,10 @@
 
 async fn serve_connection(stream: TcpStream, handle: PrometheusHandle) {
     let service = service_fn(|request: Request<Incoming>| {
-        let is_known = request.uri().path() == PATH;
-        let text = if is_known { handle.render() } else { String::new() };
+        let is_found = request.uri().path() == PATH;
+        let text = if is_found { handle.render() } else { String::new() };
         let mut response = Response::new(Full::new(Bytes::from(text)));
-        if !is_known {
+        if !is_found {
             *response.status_mut() = StatusCode::NOT_FOUND;
         }
         let plain = http::HeaderValue::from_static("text/plain; version=0.0.4");
@@ -96,6 +97,6 @@
         .timer(TokioTimer::new())
         .header_read_timeout(READ_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // A reader that broke off asks again.
+    // Errors are ignored because the scraper tries again.
     let _ = connection.await;
 }
