--- a/src/kingcupgrade/transport/platform.rs
+++ b/src/kingcupgrade/transport/platform.rs
@@ -1,7 +1,8 @@
-//! The platform's list of upstreams, asked for again and again.
+//! Polling of the platform's list of upstreams.
 //!
-//! The list lags. When the platform can't be reached the last list stays in force: an upstream
-//! that is gone is found by its refused connections, and all others go on serving.
+//! The list is eventually consistent. While the platform can't be reached, the last list stays in
+//! force: an upstream that has stopped is detected by its refused connections, and all others
+//! continue to serve.
 
 use std::{
     collections::BTreeSet,
@@ -23,44 +24,44 @@
     util::{log, process},
 };
 
-/// How often the list is asked for.
+/// The pause between two polls of the list.
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
-/// How long the platform may take.
+/// The time-out of a request to the platform.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// One upstream, as the platform lists it.
+/// An upstream, as listed by the platform.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedUpstream {
-    /// Its name.
+    /// The upstream's name.
     pub name: UpstreamName,
-    /// Where it listens.
+    /// The address on which the upstream listens.
     pub address: SocketAddr,
-    /// Whether it is about to leave.
+    /// Whether the upstream is about to shut down.
     #[serde(default)]
     pub leaving: bool,
-    /// A number that changes with every start of its process.
+    /// A number that changes with every start of the upstream's process.
     #[serde(default)]
     pub incarnation: u64,
-    /// Its latest load report.
+    /// The upstream's latest load report.
     #[serde(default)]
     pub load: Option<ListedLoad>,
 }
 
-/// An upstream's load report, as the platform passes it on.
+/// An upstream's load report, as forwarded by the platform.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ListedLoad {
-    /// Requests running.
+    /// The number of running requests.
     pub running: u32,
-    /// Whether it can bear its full load.
+    /// Whether the upstream can take its full load.
     pub warm: bool,
-    /// How long ago it was made, in milliseconds.
+    /// The age of the report in milliseconds.
     pub age_ms: u64,
 }
 
-/// The services whose upstreams are wanted.
+/// The services whose upstreams are polled.
 pub type Watched = Arc<Mutex<BTreeSet<Service>>>;
 
-/// Starts the thread that asks.
+/// Starts the thread that polls the list.
 ///
 /// # Errors
 ///
