--- a/src/kingcupgrade/transport/callers/admit.rs
+++ b/src/kingcupgrade/transport/callers/admit.rs
@@ -72,7 +72,7 @@
         path,
         headers: forwarded_headers(request),
         body,
-        silence: Duration::from_millis(document.limits.silence_ms),
+        read_timeout: Duration::from_millis(document.limits.silence_ms),
     };
     let document = document.clone();
     Ok(Admitted { document, service, organisation, idempotent, keyed, upstream })
@@ -106,7 +106,7 @@
 
 /// Returns the headers that are forwarded to the upstream.
 fn forwarded_headers(request: &Request) -> Vec<(String, String)> {
-    let forwarded = request.headers().filter(|(name, _)| upstream::is_passed_on(name));
+    let forwarded = request.headers().filter(|(name, _)| upstream::is_forwarded(name));
     forwarded.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
 }
 
--- a/src/kingcupgrade/transport/upstream.rs
+++ b/src/kingcupgrade/transport/upstream.rs
@@ -1,7 +1,8 @@
-//! One attempt at a request: its connection to an upstream.
+//! The HTTP client for a single attempt to send a request to an upstream.
 //!
-//! No connection is used twice. A kept connection that the upstream has closed meanwhile fails
-//! after the request was written to it, and "not run" would become "unknown" for no reason.
+//! Connections are not reused. If the upstream has closed an idle connection, the attempt fails
+//! only after the request has been written, and an outcome that should be "not run" would be
+//! "unknown".
 
 use std::{io, io::Read, net::SocketAddr, time::Duration};
 
@@ -12,45 +13,46 @@
 
 use crate::coordination::entry::AttemptEnd;
 
-/// How long connecting may take.
+/// The time-out for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The buffers of one attempt, in bytes; the library's own are sixteen times as large, which over
-/// a thousand open requests is more memory than all else together.
+/// The size of an attempt's input and output buffers, in bytes. ureq's defaults are sixteen times
+/// as large; with a thousand open requests they would take more memory than everything else
+/// together.
 const BUFFER_LEN: usize = 16 << 10;
-/// The header by which an upstream says what became of a request.
+/// The header in which an upstream states the outcome of a request.
 pub const OUTCOME_HEADER: &str = "kingcup-outcome";
-/// The header that asks an upstream to resume an answer after this many events.
+/// The header that asks an upstream to resume a response after this many events.
 pub const RESUME_HEADER: &str = "resume-from";
-/// The header by which an upstream confirms where it resumed.
+/// The header in which an upstream confirms after how many events it has resumed.
 pub const RESUMED_HEADER: &str = "resumed-from";
-/// Headers of callers that are passed on.
-const PASSED_ON: [&str; 4] = ["content-type", "accept", "idempotency-key", "user-agent"];
+/// The headers of callers that are forwarded to upstreams.
+const FORWARDED_HEADERS: [&str; 4] = ["content-type", "accept", "idempotency-key", "user-agent"];
 
-/// What is sent, the same in every attempt.
+/// A request for an upstream, the same for every attempt.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
     /// The method.
     pub method: String,
-    /// Path and query below the service.
+    /// The path and query, without the service.
     pub path: String,
-    /// Headers passed on.
+    /// The forwarded headers.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// How long the answer may stand still.
-    pub silence: Duration,
+    /// The time-out for each read of the response.
+    pub read_timeout: Duration,
 }
 
-/// Tells whether a caller's header is passed on.
-pub fn is_passed_on(name: &str) -> bool {
-    PASSED_ON.iter().any(|passed| name.eq_ignore_ascii_case(passed))
+/// Returns whether a caller's header is forwarded.
+pub fn is_forwarded(name: &str) -> bool {
+    FORWARDED_HEADERS.iter().any(|forwarded| name.eq_ignore_ascii_case(forwarded))
 }
 
-/// Sends a request and returns the head of its answer.
+/// Sends a request and returns the response, of which only the head has been read.
 ///
 /// # Errors
 ///
-/// Returns how the attempt ended if there is no answer to pass on.
+/// Returns how the attempt ended if there is no response to forward.
 pub fn send(
     request: &UpstreamRequest,
     address: SocketAddr,
@@ -59,7 +61,7 @@
 ) -> Result<Response<Body>, AttemptEnd> {
     let config = ureq::Agent::config_builder()
         .timeout_connect(Some(CONNECT_TIMEOUT))
-        .timeout_per_read(Some(request.silence))
+        .timeout_per_read(Some(request.read_timeout))
         .timeout_global(Some(remaining))
         .input_buffer_size(BUFFER_LEN)
         .output_buffer_size(BUFFER_LEN)
@@ -89,14 +91,14 @@
     if was_refused(&response) { Err(AttemptEnd::Refused) } else { Ok(response) }
 }
 
-/// Tells whether an upstream says that it did not run the request.
+/// Returns whether the upstream states that it did not run the request.
 fn was_refused(response: &Response<Body>) -> bool {
     let outcome = response.headers().get(OUTCOME_HEADER);
-    let says_not_run = outcome.is_some_and(|value| value.as_bytes() == b"not-run");
-    says_not_run && response.status().is_server_error() || response.status() == 429
+    let is_not_run = outcome.is_some_and(|value| value.as_bytes() == b"not-run");
+    is_not_run && response.status().is_server_error() || response.status() == 429
 }
 
-/// Tells what an error says about the request.
+/// Determines from an error what became of the request.
 fn classify(err: &ureq::Error) -> AttemptEnd {
     match err {
         ureq::Error::Timeout(ureq::Timeout::Connect | ureq::Timeout::Resolve)
@@ -115,7 +117,7 @@
     }
 }
 
-/// Reads a whole answer's body.
+/// Reads the body of a response to the end.
 ///
 /// # Errors
 ///
@@ -124,7 +126,7 @@
     let mut bytes = Vec::new();
     body.as_reader().take(limit + 1).read_to_end(&mut bytes)?;
     if bytes.len() as u64 > limit {
-        return Err(io::Error::other("the answer exceeds the limit"));
+        return Err(io::Error::other("the response exceeds the size limit"));
     }
     Ok(bytes)
 }
