--- a/src/kingcupgrade/transport/mod.rs
+++ b/src/kingcupgrade/transport/mod.rs
@@ -1,7 +1,7 @@
-//! Threads and sockets around a [`Node`](crate::coordination::node::Node).
+//! The threads and sockets around a [`Node`](crate::coordination::node::Node).
 //!
-//! One thread owns the node and everything it decides. The threads that move bytes send it an
-//! [`Event`] and carry out what it answers; none of them decides anything about other requests.
+//! One thread owns the node, which makes all decisions. The threads that do I/O send it [`Event`]s
+//! and carry out its verdicts; none of them makes decisions about other requests.
 
 pub mod callers;
 pub mod controls;
@@ -38,41 +38,41 @@
     },
 };
 
-/// What the threads around the node tell it.
+/// An event for the thread that owns the node.
 pub enum Event {
-    /// Something that concerns the node alone.
+    /// An input for the node itself.
     Input(Input),
-    /// A caller's request, and where its thread waits.
+    /// A request from a caller, and the channel for verdicts on it.
     Arrived(Arrival, Option<KeyedRequest>, mpsc::Sender<Verdict>),
-    /// An operator's request, and where its thread waits.
+    /// A request from an operator, and the channel for the reply.
     Asked(OperatorRequest, mpsc::Sender<OperatorReply>),
 }
 
-/// What the node decided about a caller's request.
+/// What a thread is to do with a caller's request.
 #[derive(Clone, Debug)]
 pub enum Verdict {
     /// Send it to this upstream.
     Start(UpstreamName, SocketAddr),
-    /// The caller hung up; nothing more is sent for it.
+    /// Stop: the caller has disconnected.
     HungUp,
-    /// Answer with a kept answer.
+    /// Respond with the stored response to an earlier request with the same idempotency key.
     Replay(KeptAnswer),
-    /// Give it up.
+    /// Respond with an error.
     GiveUp {
-        /// Why.
+        /// The result code.
         code: Code,
-        /// When to come back.
+        /// The retry delay; zero for none.
         retry_after: Millis,
     },
 }
 
-/// The newest configuration, for the threads that serve callers.
+/// The latest view of the configuration, shared with the threads that serve callers.
 pub type SharedView = Arc<RwLock<Arc<View>>>;
 
-/// Names a request; unique within the process.
+/// The id of the next request; ids are unique within the process.
 pub type NextRequest = std::sync::atomic::AtomicU64;
 
-/// Returns the next request's name.
+/// Returns a new request id.
 pub fn next_request(next: &NextRequest) -> RequestId {
     next.fetch_add(1, std::sync::atomic::Ordering::Relaxed)
 }
