--- a/crates/kingcup-support/src/engine.rs
+++ b/crates/kingcup-support/src/engine.rs
@@ -18,7 +18,7 @@
 use kingcupgrade::{
     protocol::order::{EngineSetup, ORDER_PATH, OrderRequest, SETUP_PATH},
     transport::{
-        http::{self, Answer, AnswerStream, Request, Server},
+        http::{self, Request, ResponseStream, Server, ServerResponse},
         platform::ListedLoad,
         upstream::{OUTCOME_HEADER, RESUME_HEADER, RESUMED_HEADER},
     },
@@ -296,7 +296,7 @@
         match request.url() {
             SETUP_PATH => {
                 let setup = serde_json::to_string(&self.setup()).expect("plain data");
-                request.respond(Answer::new(200, "application/json", setup));
+                request.respond(ServerResponse::new(200, "application/json", setup));
                 return;
             }
             ORDER_PATH => {
@@ -307,11 +307,11 @@
         }
         let text = request.read_text(MAX_PROMPT_LEN).unwrap_or_default();
         let Ok(prompt) = serde_json::from_str::<Prompt>(&text) else {
-            request.respond(Answer::text(400, "no prompt"));
+            request.respond(ServerResponse::text(400, "no prompt"));
             return;
         };
         if !self.begin(&prompt) {
-            let refusal = Answer::text(503, "over limit");
+            let refusal = ServerResponse::text(503, "over limit");
             request.respond(refusal.with(OUTCOME_HEADER, "not-run"));
             return;
         }
@@ -333,13 +333,13 @@
     fn take_order(&self, mut request: Request) {
         let text = request.read_text(MAX_PROMPT_LEN).unwrap_or_default();
         let Ok(order) = serde_json::from_str::<OrderRequest>(&text) else {
-            request.respond(Answer::text(400, "no order"));
+            request.respond(ServerResponse::text(400, "no order"));
             return;
         };
         if self.carry_out(&order) {
-            request.respond(Answer::text(202, "accepted"));
+            request.respond(ServerResponse::text(202, "accepted"));
         } else {
-            request.respond(Answer::text(409, "outdated"));
+            request.respond(ServerResponse::text(409, "outdated"));
         }
     }
 
@@ -425,7 +425,7 @@
     fn stream(&self, request: Request, prompt: &Prompt) -> bool {
         let offset = request.header(RESUME_HEADER).and_then(|value| value.parse().ok());
         let offset = offset.unwrap_or(0);
-        let head = Answer::new(200, "text/event-stream", "");
+        let head = ServerResponse::new(200, "text/event-stream", "");
         let mut stream = request.stream(head.with(RESUMED_HEADER, offset.to_string()));
         let slowdown = if self.is_turning() { TURNING_SLOWDOWN } else { 1 };
         thread::sleep(self.config.prefill_time * slowdown);
@@ -453,7 +453,7 @@
     }
 
     /// Holds the connection open and says nothing until its other end is gone or the mode ends.
-    fn stay_silent(&self, stream: AnswerStream) -> bool {
+    fn stay_silent(&self, stream: ResponseStream) -> bool {
         while self.silent_after.load(Ordering::SeqCst) > 0 && !self.is_down() {
             thread::sleep(Duration::from_millis(20));
         }
--- a/crates/kingcup-support/src/plain.rs
+++ b/crates/kingcup-support/src/plain.rs
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-use kingcupgrade::transport::http::{self, Answer, Request, Server};
+use kingcupgrade::transport::http::{self, Request, Server, ServerResponse};
 
 use crate::ANY_PORT;
 
@@ -92,6 +92,6 @@
         };
         thread::sleep(Duration::from_millis(self.delay_ms.load(Ordering::SeqCst)));
         // A caller that is gone gets no answer; the run counts all the same.
-        request.respond(Answer::text(200, format!("{key} run {run}: {body}")));
+        request.respond(ServerResponse::text(200, format!("{key} run {run}: {body}")));
     }
 }
--- a/crates/kingcup-support/src/platform.rs
+++ b/crates/kingcup-support/src/platform.rs
@@ -7,7 +7,7 @@
 };
 
 use kingcupgrade::transport::{
-    http::{self, Answer, Request},
+    http::{self, Request, ServerResponse},
     platform::{ListedLoad, ListedUpstream},
 };
 
@@ -68,7 +68,7 @@
         // Short and without waiting, so that it needs no thread.
         let serve = move |request: Request| {
             let list = list(&listed, lag, request.url());
-            request.respond(Answer::new(200, "application/json", list));
+            request.respond(ServerResponse::new(200, "application/json", list));
         };
         let server = http::start("platform", ANY_PORT.into(), serve).expect("a free port");
         Platform { address: server.address(), items }
--- a/src/kingcupgrade/transport/callers/response.rs
+++ b/src/kingcupgrade/transport/callers/response.rs
@@ -6,7 +6,7 @@
 use crate::{
     core::{Code, Millis, code::CodedError},
     protocol::record::KeptAnswer,
-    transport::http::{self, AnswerStream, Request, Responder, error_body},
+    transport::http::{self, Request, Responder, ResponseStream, error_body},
 };
 
 /// The state of the response to a caller.
@@ -14,16 +14,16 @@
     /// Nothing has been sent.
     Pending(Responder),
     /// A stream has begun, and this many events have been sent.
-    Streaming { stream: AnswerStream, events: u64 },
+    Streaming { stream: ResponseStream, events: u64 },
 }
 
 /// Begins a streamed response.
 pub(super) fn begin_stream(
     pending: Responder,
     response: &ureq::http::Response<ureq::Body>,
-) -> AnswerStream {
+) -> ResponseStream {
     let status = response.status().as_u16();
-    let head = http::Answer::new(status, &content_type(response), Vec::new())
+    let head = http::ServerResponse::new(status, &content_type(response), Vec::new())
         .with("cache-control", "no-store")
         .with("kingcup-code", Code::Done.number().to_string());
     pending.stream(head)
@@ -43,7 +43,7 @@
     let err = CodedError::new(code, "");
     match answer {
         ResponseState::Pending(pending) => {
-            pending.respond(http::Answer::refusal(&err, retry_after))
+            pending.respond(http::ServerResponse::refusal(&err, retry_after))
         }
         ResponseState::Streaming { mut stream, .. } => {
             let event = format!("event: error\ndata: {}\n\n", error_body(&err));
@@ -57,7 +57,7 @@
 /// Refuses a request that has not been passed to the node.
 pub(super) fn refuse(request: Request, err: &CodedError, retry_after: Millis) {
     count(err.code);
-    request.respond(http::Answer::refusal(err, retry_after));
+    request.respond(http::ServerResponse::refusal(err, retry_after));
 }
 
 /// Responds with a complete body and the headers of a result code.
@@ -68,7 +68,7 @@
     content_type: &str,
     body: Vec<u8>,
 ) {
-    pending.respond(http::Answer::new(status, content_type, body).with_result(code));
+    pending.respond(http::ServerResponse::new(status, content_type, body).with_result(code));
 }
 
 fn count(code: Code) {
--- a/src/kingcupgrade/transport/http/connection.rs
+++ b/src/kingcupgrade/transport/http/connection.rs
@@ -21,7 +21,7 @@
 use super::{
     Handler,
     request::{DisconnectAction, Request},
-    response::{Answer, ResponseBody},
+    response::{ResponseBody, ServerResponse},
 };
 use crate::core::{Code, Millis, code::CodedError};
 
@@ -46,7 +46,8 @@
     let ErrorFilter { mut stream, is_triggered } = connection.into_parts().io.into_inner();
     if let (true, Err(err)) = (is_triggered, ended) {
         let code = if err.is_parse_too_large() { Code::HeadTooLarge } else { Code::BadRequest };
-        let refusal = Answer::refusal(&CodedError::new(code, err.to_string()), Millis::ZERO);
+        let refusal =
+            ServerResponse::refusal(&CodedError::new(code, err.to_string()), Millis::ZERO);
         // An error means that the caller has disconnected.
         let _ = stream.write_all(&refusal.to_bytes()).await;
     }
--- a/src/kingcupgrade/transport/http/mod.rs
+++ b/src/kingcupgrade/transport/http/mod.rs
@@ -21,7 +21,7 @@
 pub(crate) use self::response::error_body;
 pub use self::{
     request::{Request, Responder},
-    response::{Answer, AnswerStream, Disconnected},
+    response::{Disconnected, ResponseStream, ServerResponse},
 };
 use super::listen::retry_while_in_use;
 use crate::util::{log, process};
--- a/src/kingcupgrade/transport/http/request.rs
+++ b/src/kingcupgrade/transport/http/request.rs
@@ -9,7 +9,7 @@
 };
 use tokio::{runtime, sync::oneshot, time};
 
-use super::response::{Answer, AnswerStream, ResponseBody};
+use super::response::{ResponseBody, ResponseStream, ServerResponse};
 use crate::core::{Code, code::CodedError};
 
 /// The time-out for reading a request body.
@@ -97,12 +97,12 @@
     }
 
     /// Sends a complete response.
-    pub fn respond(self, response: Answer) {
+    pub fn respond(self, response: ServerResponse) {
         self.responder.respond(response);
     }
 
     /// Begins a response whose body is streamed.
-    pub fn stream(self, head: Answer) -> AnswerStream {
+    pub fn stream(self, head: ServerResponse) -> ResponseStream {
         self.responder.stream(head)
     }
 }
@@ -114,7 +114,7 @@
 
 impl Responder {
     /// Sends a complete response.
-    pub fn respond(self, response: Answer) {
+    pub fn respond(self, response: ServerResponse) {
         // Sending fails if the caller has disconnected; it can retry with its idempotency key if it
         // needs the response.
         let _ = self.tx.send(response.into_complete());
@@ -122,7 +122,7 @@
 
     /// Begins a response whose body is streamed. If the caller has disconnected, the first write
     /// fails.
-    pub fn stream(self, head: Answer) -> AnswerStream {
+    pub fn stream(self, head: ServerResponse) -> ResponseStream {
         let (stream, response) = head.into_stream();
         let _ = self.tx.send(response);
         stream
--- a/src/kingcupgrade/transport/http/response.rs
+++ b/src/kingcupgrade/transport/http/response.rs
@@ -22,30 +22,30 @@
 
 /// The head of a response, and its body unless it is streamed.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ServerResponse {
     status: u16,
     headers: Vec<(&'static str, String)>,
     body: Vec<u8>,
 }
 
-impl Answer {
+impl ServerResponse {
     /// Creates a response. Every response has a content type, which distinguishes it from the error
     /// responses that hyper generates.
-    pub fn new(status: u16, content_type: &str, body: impl Into<Vec<u8>>) -> Answer {
+    pub fn new(status: u16, content_type: &str, body: impl Into<Vec<u8>>) -> ServerResponse {
         let headers = vec![("content-type", content_type.to_owned())];
-        Answer { status, headers, body: body.into() }
+        ServerResponse { status, headers, body: body.into() }
     }
 
     /// Creates a plain-text response.
-    pub fn text(status: u16, body: impl Into<String>) -> Answer {
-        Answer::new(status, "text/plain; charset=utf-8", body.into())
+    pub fn text(status: u16, body: impl Into<String>) -> ServerResponse {
+        ServerResponse::new(status, "text/plain; charset=utf-8", body.into())
     }
 
     /// Creates the error response to a request that is refused or has failed.
-    pub fn refusal(err: &CodedError, retry_after: Millis) -> Answer {
+    pub fn refusal(err: &CodedError, retry_after: Millis) -> ServerResponse {
         let body = error_body(err).to_string();
         let response =
-            Answer::new(err.code.status(), "application/json", body).with_result(err.code);
+            ServerResponse::new(err.code.status(), "application/json", body).with_result(err.code);
         if retry_after == Millis::ZERO {
             return response;
         }
@@ -54,14 +54,14 @@
 
     /// Adds a header.
     #[must_use]
-    pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Answer {
+    pub fn with(mut self, name: &'static str, value: impl Into<String>) -> ServerResponse {
         self.headers.push((name, value.into()));
         self
     }
 
     /// Adds the headers of a result code.
     #[must_use]
-    pub fn with_result(self, code: Code) -> Answer {
+    pub fn with_result(self, code: Code) -> ServerResponse {
         self.with("kingcup-code", code.number().to_string())
             .with("kingcup-outcome", code.outcome().as_str())
     }
@@ -86,9 +86,9 @@
         self.into_response(ResponseBody::Complete(body))
     }
 
-    pub(super) fn into_stream(self) -> (AnswerStream, Response<ResponseBody>) {
+    pub(super) fn into_stream(self) -> (ResponseStream, Response<ResponseBody>) {
         let (tx, rx) = mpsc::channel(CHUNK_QUEUE_LEN);
-        (AnswerStream { tx }, self.into_response(ResponseBody::Stream(rx)))
+        (ResponseStream { tx }, self.into_response(ResponseBody::Stream(rx)))
     }
 
     fn into_response(self, body: ResponseBody) -> Response<ResponseBody> {
@@ -129,13 +129,13 @@
 
 /// A response whose body is being streamed.
 ///
-/// If it is dropped without [`AnswerStream::end`], the connection is aborted, so that the caller
+/// If it is dropped without [`ResponseStream::end`], the connection is aborted, so that the caller
 /// never takes a truncated body for a complete one.
-pub struct AnswerStream {
+pub struct ResponseStream {
     tx: mpsc::Sender<Chunk>,
 }
 
-impl AnswerStream {
+impl ResponseStream {
     /// Sends a chunk of the body. Blocks while too many chunks are queued.
     ///
     /// # Errors
--- a/src/kingcupgrade/transport/operators.rs
+++ b/src/kingcupgrade/transport/operators.rs
@@ -14,7 +14,7 @@
 
 use super::{
     Event,
-    http::{self, Answer, Request},
+    http::{self, Request, ServerResponse},
 };
 use crate::{
     core::{Code, Settings, code::CodedError},
@@ -55,9 +55,11 @@
     draining: &AtomicBool,
 ) {
     let response = match (request.method(), request.url()) {
-        ("GET", "/metrics") => Answer::text(200, metrics.render()),
-        ("GET", "/healthz") if draining.load(Ordering::Relaxed) => Answer::text(503, "draining\n"),
-        ("GET", "/healthz") => Answer::text(200, "ok\n"),
+        ("GET", "/metrics") => ServerResponse::text(200, metrics.render()),
+        ("GET", "/healthz") if draining.load(Ordering::Relaxed) => {
+            ServerResponse::text(503, "draining\n")
+        }
+        ("GET", "/healthz") => ServerResponse::text(200, "ok\n"),
         ("POST", OPERATOR_PATH) => {
             let reply = handle_request(&mut request, events);
             let status = match &reply {
@@ -65,9 +67,9 @@
                 _ => 200,
             };
             let body = serde_json::to_string(&reply).expect("a reply has only serializable fields");
-            Answer::new(status, "application/json", body)
+            ServerResponse::new(status, "application/json", body)
         }
-        _ => Answer::text(404, "not found\n"),
+        _ => ServerResponse::text(404, "not found\n"),
     };
     // An operator who has disconnected can retry with the same change id.
     request.respond(response);
