--- a/src/kingcupgrade/ops/fleet.rs
+++ b/src/kingcupgrade/ops/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     core::settings::Role,
-    transport::{controls, gateway, gateway::edge::Edge, signals::EarlySignals},
+    transport::{controls, gateway, gateway::adapter::PlatformAdapter, signals::EarlySignals},
     util::process,
 };
 
@@ -11,7 +11,7 @@
 /// # Errors
 ///
 /// Returns an error if the process can't start, or ends otherwise than when told to.
-pub fn serve_fleet<E: Edge>(edge: E) -> anyhow::Result<()> {
+pub fn serve_fleet<E: PlatformAdapter>(edge: E) -> anyhow::Result<()> {
     process::run_logged(|| {
         let signals = EarlySignals::catch()?;
         let edge = Arc::new(edge);
--- a/src/kingcupgrade/transport/controls.rs
+++ b/src/kingcupgrade/transport/controls.rs
@@ -17,7 +17,7 @@
 
 use super::{
     fleet::FleetHandle,
-    gateway::edge::{Edge, OperatorCall},
+    gateway::adapter::{OperatorCall, PlatformAdapter},
     listen::listen,
     metrics, reload,
     signals::EarlySignals,
@@ -47,7 +47,7 @@
 
 /// The state shared by the connections of operators.
 struct OperatorServer<E> {
-    edge: Arc<E>,
+    adapter: Arc<E>,
     fleet: FleetHandle,
 }
 
@@ -58,16 +58,16 @@
 /// # Errors
 ///
 /// Returns an error if an address can't be listened on or the data folder can't be read.
-pub fn run<E: Edge>(
-    edge: Arc<E>,
+pub fn run<E: PlatformAdapter>(
+    adapter: Arc<E>,
     settings: Arc<FleetSettings>,
     signals: EarlySignals,
 ) -> anyhow::Result<()> {
-    run_on_this_thread(run_tasks(edge, settings, signals))
+    run_on_this_thread(run_tasks(adapter, settings, signals))
 }
 
-async fn run_tasks<E: Edge>(
-    edge: Arc<E>,
+async fn run_tasks<E: PlatformAdapter>(
+    adapter: Arc<E>,
     settings: Arc<FleetSettings>,
     signals: EarlySignals,
 ) -> anyhow::Result<()> {
@@ -78,8 +78,8 @@
     metrics::start(settings.metrics_address).await.context("metrics")?;
     let fleet = FleetHandle::start(settings.clone(), Box::new(|_| {}))?;
     let mut tasks = EssentialTasks::default();
-    tasks.spawn("settings", reload::follow(edge.clone(), fleet.clone(), settings.clone()));
-    let server = Rc::new(OperatorServer { edge, fleet: fleet.clone() });
+    tasks.spawn("settings", reload::follow(adapter.clone(), fleet.clone(), settings.clone()));
+    let server = Rc::new(OperatorServer { adapter, fleet: fleet.clone() });
     tasks.spawn("operators", accept_all(server, listener));
     log::event("started", &settings.instance());
     let mut terminated = signal(SignalKind::terminate())?;
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-async fn accept_all<E: Edge>(
+async fn accept_all<E: PlatformAdapter>(
     server: Rc<OperatorServer<E>>,
     listener: TcpListener,
 ) -> anyhow::Result<()> {
@@ -113,7 +113,7 @@
     }
 }
 
-async fn serve_connection<E: Edge>(server: Rc<OperatorServer<E>>, stream: TcpStream) {
+async fn serve_connection<E: PlatformAdapter>(server: Rc<OperatorServer<E>>, stream: TcpStream) {
     let service = service_fn(|request| {
         let server = server.clone();
         async move { Ok::<_, Infallible>(server.serve(request).await) }
@@ -126,10 +126,10 @@
     let _ = connection.await;
 }
 
-impl<E: Edge> OperatorServer<E> {
+impl<E: PlatformAdapter> OperatorServer<E> {
     /// Dispatches a request to the operation that its method and path denote.
     async fn serve(&self, request: Request<Incoming>) -> OperatorResponse {
-        let call = self.edge.operator_call(request.method(), request.uri().path());
+        let call = self.adapter.operator_call(request.method(), request.uri().path());
         let reading = Limited::new(request.into_body(), MAX_CONFIGURATION_LEN).collect();
         let body = match timeout(READ_TIMEOUT.as_duration(), reading).await {
             Ok(Ok(body)) => body.to_bytes(),
@@ -155,7 +155,7 @@
     }
 
     async fn replace(&self, body: &[u8]) -> OperatorResponse {
-        let decoded = self.edge.decode_configuration(body);
+        let decoded = self.adapter.decode_configuration(body);
         let configuration = match decoded {
             Ok(configuration) => configuration,
             Err(err) => return refusal(err.code, &err.detail),
--- a/src/kingcupgrade/transport/gateway/edge.rs
+++ b/src/kingcupgrade/transport/gateway/adapter.rs
@@ -1,7 +1,8 @@
 //! The interface between the product and the platform that it runs on.
 //!
-//! The platform defines the wire format of requests, responses and lists. An [`Edge`] only
-//! translates between that format and the product's types; all decisions are made in this crate.
+//! The platform defines the wire format of requests, responses and lists. A [`PlatformAdapter`]
+//! only translates between that format and the product's types; all decisions are made in this
+//! crate.
 
 use http::{HeaderMap, Method, request, response};
 
@@ -87,7 +88,7 @@
 }
 
 /// Translates between the platform's wire formats and the product's types.
-pub trait Edge: Send + Sync + 'static {
+pub trait PlatformAdapter: Send + Sync + 'static {
     /// Reads the settings again.
     ///
     /// # Errors
--- a/src/kingcupgrade/transport/gateway/listing.rs
+++ b/src/kingcupgrade/transport/gateway/listing.rs
@@ -15,7 +15,7 @@
     time::{sleep, timeout},
 };
 
-use super::{Gateway, edge::Edge};
+use super::{Gateway, adapter::PlatformAdapter};
 use crate::{
     coordination::{
         fleet::FleetInput,
@@ -40,7 +40,7 @@
 type Sender = SendRequest<Full<Bytes>>;
 
 /// Reads the list whenever that is due by this entry's duty.
-pub(super) async fn follow<E: Edge>(gateway: Rc<Gateway<E>>) -> anyhow::Result<()> {
+pub(super) async fn follow<E: PlatformAdapter>(gateway: Rc<Gateway<E>>) -> anyhow::Result<()> {
     let mut sender = None;
     let mut is_reachable = true;
     loop {
@@ -73,7 +73,7 @@
     }
 }
 
-impl<E: Edge> Gateway<E> {
+impl<E: PlatformAdapter> Gateway<E> {
     /// Applies a list read from the platform, and sends it to the entries that this one reads for.
     fn on_listing_read(&self, upstreams: Vec<ListedUpstream>, age: Age, duty: ListingDuty) {
         let read_time = age.get().filter(|age| *age < MAX_READ_TIME);
@@ -148,16 +148,16 @@
     }
 }
 
-async fn read_all_pages<E: Edge>(
+async fn read_all_pages<E: PlatformAdapter>(
     gateway: &Gateway<E>,
     sender: &mut Option<Sender>,
 ) -> anyhow::Result<Vec<ListedUpstream>> {
     let mut listing = Vec::new();
     let mut page = None;
     for _ in 0..MAX_PAGES {
-        let path = gateway.edge.listing_path(page.as_deref());
+        let path = gateway.adapter.listing_path(page.as_deref());
         let body = timeout(PAGE_TIMEOUT, read_page(gateway, sender, &path)).await??;
-        let read = gateway.edge.decode_listing(&body)?;
+        let read = gateway.adapter.decode_listing(&body)?;
         if read.unreadable > 0 {
             log::warning("listing-entries-unreadable", &read.unreadable);
         }
@@ -170,7 +170,7 @@
     Ok(listing)
 }
 
-async fn read_page<E: Edge>(
+async fn read_page<E: PlatformAdapter>(
     gateway: &Gateway<E>,
     idle: &mut Option<Sender>,
     path: &str,
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -4,9 +4,9 @@
 //! Everything runs as tasks on one thread. A request waits only for the network and for its turn on
 //! the processor; scheduling decisions are direct calls of [`Traffic`], without messages or locks.
 
+pub mod adapter;
 pub mod course;
 mod decisions;
-pub mod edge;
 pub mod events;
 mod listing;
 pub mod pool;
@@ -34,8 +34,8 @@
 };
 
 use self::{
+    adapter::PlatformAdapter,
     decisions::{DecisionLog, FailureLine},
-    edge::Edge,
     pool::Pool,
     scheduling_delay::probe_scheduling_delay,
 };
@@ -66,7 +66,7 @@
 
 /// The state shared by all tasks of one entry.
 pub(crate) struct Gateway<E> {
-    edge: Arc<E>,
+    adapter: Arc<E>,
     settings: Arc<FleetSettings>,
     clock: Clock,
     traffic: RefCell<Traffic>,
@@ -91,7 +91,7 @@
     fleet: FleetHandle,
 }
 
-impl<E: Edge> Gateway<E> {
+impl<E: PlatformAdapter> Gateway<E> {
     fn now(&self) -> Millis {
         self.clock.now()
     }
@@ -188,7 +188,7 @@
                 if newest.version <= known {
                     return;
                 }
-                match self.edge.decode_configuration(newest.text.as_bytes()) {
+                match self.adapter.decode_configuration(newest.text.as_bytes()) {
                     Ok(configuration) => {
                         log::event("configuration-in-force", &newest.version);
                         traffic.set_configuration(Arc::new(configuration));
@@ -226,16 +226,16 @@
 /// # Errors
 ///
 /// Returns an error if a listener can't be bound or an essential task fails.
-pub fn run<E: Edge>(
-    edge: Arc<E>,
+pub fn run<E: PlatformAdapter>(
+    adapter: Arc<E>,
     settings: Arc<FleetSettings>,
     signals: EarlySignals,
 ) -> anyhow::Result<()> {
-    run_on_this_thread(run_tasks(edge, settings, signals))
+    run_on_this_thread(run_tasks(adapter, settings, signals))
 }
 
-async fn run_tasks<E: Edge>(
-    edge: Arc<E>,
+async fn run_tasks<E: PlatformAdapter>(
+    adapter: Arc<E>,
     settings: Arc<FleetSettings>,
     signals: EarlySignals,
 ) -> anyhow::Result<()> {
@@ -250,7 +250,7 @@
     let fleet = FleetHandle::start(settings.clone(), Box::new(sink))?;
     let gateway = Rc::new(Gateway {
         traffic: RefCell::new(Traffic::new(settings.clone())),
-        edge,
+        adapter,
         clock: Clock::start(),
         waiting: RefCell::default(),
         pool: Rc::new(Pool::default()),
@@ -272,8 +272,8 @@
     tasks.spawn("callers", serve::accept_callers(gateway.clone(), callers));
     tasks.spawn("readiness", serve::accept_probes(gateway.clone(), ready));
     tasks.spawn("listing", listing::follow(gateway.clone()));
-    let (edge, fleet) = (gateway.edge.clone(), gateway.fleet.clone());
-    tasks.spawn("settings", reload::follow(edge, fleet, settings.clone()));
+    let (adapter, fleet) = (gateway.adapter.clone(), gateway.fleet.clone());
+    tasks.spawn("settings", reload::follow(adapter, fleet, settings.clone()));
     tasks.spawn("news", {
         let gateway = gateway.clone();
         async move {
@@ -299,7 +299,7 @@
 }
 
 /// Runs the periodic work until the shutdown is complete.
-async fn run_timers<E: Edge>(
+async fn run_timers<E: PlatformAdapter>(
     gateway: &Rc<Gateway<E>>,
     signals: &EarlySignals,
 ) -> anyhow::Result<()> {
@@ -343,7 +343,7 @@
     }
 }
 
-fn begin_shutdown<E: Edge>(gateway: &Gateway<E>) {
+fn begin_shutdown<E: PlatformAdapter>(gateway: &Gateway<E>) {
     let mut shutdown = gateway.shutdown.get();
     shutdown.begin(gateway.now(), gateway.settings.grace);
     gateway.shutdown.set(shutdown);
--- a/src/kingcupgrade/transport/gateway/relay.rs
+++ b/src/kingcupgrade/transport/gateway/relay.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, Sleep, sleep_until};
 
 use super::{
-    edge::Edge,
+    adapter::PlatformAdapter,
     events::EventCutter,
     pool::Connection,
     request::{AttemptGuard, ProxiedRequest, UpstreamResponse},
@@ -38,7 +38,7 @@
 const ABORT_SLACK: Duration = Duration::from_millis(100);
 
 /// The upstream response being read.
-struct Source<E: Edge> {
+struct Source<E: PlatformAdapter> {
     body: Incoming,
     connection: Connection,
     attempt: AttemptGuard<E>,
@@ -47,14 +47,14 @@
 /// Obtains a response from another upstream; `None` if the stream can't be resumed.
 type Resuming<E> = Pin<Box<dyn Future<Output = Option<UpstreamResponse<E>>>>>;
 
-enum State<E: Edge> {
+enum State<E: PlatformAdapter> {
     Reading(Source<E>),
     Resuming(Resuming<E>),
     Ended,
 }
 
 /// A streamed response that is being forwarded to its caller.
-pub(super) struct Relay<E: Edge> {
+pub(super) struct Relay<E: PlatformAdapter> {
     request: Rc<ProxiedRequest<E>>,
     state: State<E>,
     cutter: EventCutter,
@@ -70,7 +70,7 @@
     timer: Pin<Box<Sleep>>,
 }
 
-impl<E: Edge> Relay<E> {
+impl<E: PlatformAdapter> Relay<E> {
     pub(super) fn new(
         request: Rc<ProxiedRequest<E>>,
         body: Incoming,
--- a/src/kingcupgrade/transport/gateway/request/attempt.rs
+++ b/src/kingcupgrade/transport/gateway/request/attempt.rs
@@ -7,18 +7,18 @@
 
 use crate::{
     coordination::traffic::{RequestNo, SendEnd},
-    transport::gateway::{Gateway, edge::Edge, pool::Connection},
+    transport::gateway::{Gateway, adapter::PlatformAdapter, pool::Connection},
 };
 
 /// Keeps an attempt registered with the scheduler while it is queued or running; dropping the guard
 /// cancels the attempt.
-pub(in crate::transport::gateway) struct AttemptGuard<E: Edge> {
+pub(in crate::transport::gateway) struct AttemptGuard<E: PlatformAdapter> {
     gateway: Rc<Gateway<E>>,
     pub(super) no: RequestNo,
     is_open: bool,
 }
 
-impl<E: Edge> AttemptGuard<E> {
+impl<E: PlatformAdapter> AttemptGuard<E> {
     pub(super) fn new(gateway: Rc<Gateway<E>>) -> AttemptGuard<E> {
         let no = gateway.next_request.get();
         gateway.next_request.set(no + 1);
@@ -48,7 +48,7 @@
     }
 }
 
-impl<E: Edge> Drop for AttemptGuard<E> {
+impl<E: PlatformAdapter> Drop for AttemptGuard<E> {
     fn drop(&mut self) {
         if self.is_open {
             self.gateway.traffic.borrow_mut().forget(self.no);
@@ -59,7 +59,7 @@
 }
 
 /// An upstream's response of which the head has arrived.
-pub(in crate::transport::gateway) struct UpstreamResponse<E: Edge> {
+pub(in crate::transport::gateway) struct UpstreamResponse<E: PlatformAdapter> {
     pub(in crate::transport::gateway) head: http::response::Parts,
     pub(in crate::transport::gateway) body: Incoming,
     pub(in crate::transport::gateway) connection: Connection,
--- a/src/kingcupgrade/transport/gateway/request/exchange.rs
+++ b/src/kingcupgrade/transport/gateway/request/exchange.rs
@@ -13,7 +13,7 @@
     coordination::traffic::{Grant, SendEnd},
     core::Millis,
     transport::gateway::{
-        edge::{Edge, Mark},
+        adapter::{Mark, PlatformAdapter},
         pool::{Connection, NoConnection},
         response::strip_hop_headers,
     },
@@ -29,7 +29,7 @@
 const REJECTION_TIMEOUT: Millis = Millis(100);
 
 /// The result of one attempt to send a request.
-pub(super) enum SendResult<E: Edge> {
+pub(super) enum SendResult<E: PlatformAdapter> {
     /// The head of an acceptable response has arrived.
     Response(Box<UpstreamResponse<E>>),
     /// No byte of the request was sent.
@@ -54,7 +54,7 @@
     TimedOut,
 }
 
-impl<E: Edge> ProxiedRequest<E> {
+impl<E: PlatformAdapter> ProxiedRequest<E> {
     /// Sends the request to the granted upstream, asking for a resumption after `last_event` if
     /// set.
     pub(super) async fn send_once(
@@ -131,7 +131,7 @@
             patience: self.deadline_at.since(self.gateway.now()),
             last_event,
         };
-        self.gateway.edge.mark_request(&mut headers, &mark);
+        self.gateway.adapter.mark_request(&mut headers, &mark);
         let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -149,7 +149,7 @@
         attempt: AttemptGuard<E>,
         grant: &Grant,
     ) -> SendResult<E> {
-        let answer = self.gateway.edge.read_answer(&head);
+        let answer = self.gateway.adapter.read_answer(&head);
         connection.keep_alive = keep_alive_of(&head.headers);
         if let Some((running, waiting)) = answer.load {
             let now = self.gateway.now();
--- a/src/kingcupgrade/transport/gateway/request/mod.rs
+++ b/src/kingcupgrade/transport/gateway/request/mod.rs
@@ -19,7 +19,7 @@
 use self::exchange::SendResult;
 use super::{
     Gateway,
-    edge::{CallerHead, Edge},
+    adapter::{CallerHead, PlatformAdapter},
     relay::Relay,
     response::{ResponseBody, strip_hop_headers},
 };
@@ -49,7 +49,7 @@
 const RETRY_AFTER_REJECTED: Millis = Millis(500);
 
 /// A caller's request and the state of its processing.
-pub(super) struct ProxiedRequest<E: Edge> {
+pub(super) struct ProxiedRequest<E: PlatformAdapter> {
     pub(super) gateway: Rc<Gateway<E>>,
     request_id: Option<String>,
     method: Method,
@@ -99,7 +99,7 @@
     expected: Millis,
 }
 
-impl<E: Edge> ProxiedRequest<E> {
+impl<E: PlatformAdapter> ProxiedRequest<E> {
     /// Determines the route, the organisation and the service of a request.
     ///
     /// # Errors
@@ -401,7 +401,7 @@
     &route.targets[0].0
 }
 
-fn complete_response<E: Edge>(
+fn complete_response<E: PlatformAdapter>(
     mut head: http::response::Parts,
     body: Bytes,
 ) -> Response<ResponseBody<E>> {
--- a/src/kingcupgrade/transport/gateway/request/reporting.rs
+++ b/src/kingcupgrade/transport/gateway/request/reporting.rs
@@ -7,14 +7,14 @@
     coordination::traffic::Grant,
     core::{Code, Millis},
     transport::gateway::{
+        adapter::PlatformAdapter,
         course::{LateAnswerLine, Times},
         decisions::{FailureLine, PlacementLine},
-        edge::Edge,
         response::{ResponseBody, error_response},
     },
 };
 
-impl<E: Edge> ProxiedRequest<E> {
+impl<E: PlatformAdapter> ProxiedRequest<E> {
     /// Logs that a response was truncated after it had begun.
     pub(in crate::transport::gateway) fn report_truncated(&self, code: Code) {
         let progress = self.progress.borrow();
@@ -106,6 +106,6 @@
         let progress = self.progress.borrow();
         self.gateway.decisions.refused(code, &self.failure_line(code, retry_after, &progress));
         drop(progress);
-        error_response(&*self.gateway.edge, code, retry_after, self.request_id.as_deref())
+        error_response(&*self.gateway.adapter, code, retry_after, self.request_id.as_deref())
     }
 }
--- a/src/kingcupgrade/transport/gateway/response.rs
+++ b/src/kingcupgrade/transport/gateway/response.rs
@@ -10,11 +10,11 @@
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
 
-use super::{edge::Edge, relay::Relay};
+use super::{adapter::PlatformAdapter, relay::Relay};
 use crate::core::{Code, Millis};
 
 /// The body of a response to a caller.
-pub(super) enum ResponseBody<E: Edge> {
+pub(super) enum ResponseBody<E: PlatformAdapter> {
     /// A body that is held in memory completely.
     Full(Full<Bytes>),
     /// An upstream's stream, forwarded as it arrives.
@@ -34,7 +34,7 @@
 
 impl std::error::Error for TruncatedResponse {}
 
-impl<E: Edge> Body for ResponseBody<E> {
+impl<E: PlatformAdapter> Body for ResponseBody<E> {
     type Data = Bytes;
     type Error = TruncatedResponse;
 
@@ -64,8 +64,8 @@
 }
 
 /// Builds the error response to a request that is refused or has failed.
-pub(super) fn error_response<E: Edge>(
-    edge: &E,
+pub(super) fn error_response<E: PlatformAdapter>(
+    adapter: &E,
     code: Code,
     retry_after: Millis,
     request_id: Option<&str>,
@@ -79,7 +79,7 @@
         headers.insert(header::RETRY_AFTER, value);
     }
     if let Some(request_id) = request_id {
-        edge.mark_refusal(&mut headers, request_id);
+        adapter.mark_refusal(&mut headers, request_id);
     }
     let mut response = Response::new(ResponseBody::Full(Full::new(text.into())));
     *response.status_mut() =
--- a/src/kingcupgrade/transport/gateway/scheduling_delay.rs
+++ b/src/kingcupgrade/transport/gateway/scheduling_delay.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use super::{Gateway, edge::Edge};
+use super::{Gateway, adapter::PlatformAdapter};
 use crate::{core::Millis, util::log};
 
 /// The fields of the log line for an overloaded entry.
@@ -22,7 +22,7 @@
     waiting: usize,
 }
 
-impl<E: Edge> Gateway<E> {
+impl<E: PlatformAdapter> Gateway<E> {
     fn record_probe_delay(&self, delay: Millis) {
         let mut overload = self.overload.get();
         overload.on_turn(delay);
@@ -68,7 +68,7 @@
 ///
 /// A late timer would not show the delay: the runtime checks timers between tasks, so they fire on
 /// time however many tasks are ready to run.
-pub(super) fn probe_scheduling_delay<E: Edge>(gateway: &Rc<Gateway<E>>) {
+pub(super) fn probe_scheduling_delay<E: PlatformAdapter>(gateway: &Rc<Gateway<E>>) {
     if gateway.is_probing.replace(true) {
         return;
     }
--- a/src/kingcupgrade/transport/gateway/serve.rs
+++ b/src/kingcupgrade/transport/gateway/serve.rs
@@ -14,7 +14,7 @@
 
 use super::{
     Gateway,
-    edge::Edge,
+    adapter::PlatformAdapter,
     request::ProxiedRequest,
     response::{ResponseBody, error_response},
 };
@@ -68,7 +68,7 @@
 }
 
 /// Accepts callers' connections until the shutdown reaches the stage that closes the listener.
-pub(super) async fn accept_callers<E: Edge>(
+pub(super) async fn accept_callers<E: PlatformAdapter>(
     gateway: Rc<Gateway<E>>,
     listener: TcpListener,
 ) -> anyhow::Result<()> {
@@ -97,7 +97,7 @@
     }
 }
 
-async fn serve_connection<E: Edge>(gateway: Rc<Gateway<E>>, stream: TcpStream) {
+async fn serve_connection<E: PlatformAdapter>(gateway: Rc<Gateway<E>>, stream: TcpStream) {
     // Nagle's algorithm would hold back an event until the previous one is acknowledged. A failure
     // costs latency only.
     let _ = stream.set_nodelay(true);
@@ -148,24 +148,24 @@
 /// the load balancer then selects. An entry that is shutting down announces the close with each
 /// response: if it closed the connection later, the close could cross with the caller's next
 /// request, and the caller would lose an attempt.
-fn may_keep_connection<E: Edge>(gateway: &Gateway<E>) -> bool {
+fn may_keep_connection<E: PlatformAdapter>(gateway: &Gateway<E>) -> bool {
     let max_kept = gateway.settings.max_sockets as f64 * KEEP_ALIVE_PART;
     gateway.stage() == DrainStage::Serving
         && !gateway.overload.get().is_full()
         && gateway.open_connections.get() as f64 <= max_kept
 }
 
-async fn serve_one<E: Edge>(
+async fn serve_one<E: PlatformAdapter>(
     gateway: Rc<Gateway<E>>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody<E>>, Infallible> {
     let _counted = Counted::new(&gateway.open_requests);
     let (head, body) = request.into_parts();
-    let decoded = gateway.edge.read_caller(&head);
+    let decoded = gateway.adapter.read_caller(&head);
     let request_id = decoded.request_id.clone();
     let refuse = |code, retry_after| {
         gateway.log_unrouted_refusal(code, retry_after, request_id.as_deref());
-        Ok(error_response(&*gateway.edge, code, retry_after, request_id.as_deref()))
+        Ok(error_response(&*gateway.adapter, code, retry_after, request_id.as_deref()))
     };
     let configuration = gateway.traffic.borrow().configuration().cloned();
     let limits = configuration.as_ref().map(|configuration| &configuration.limits);
@@ -200,7 +200,7 @@
 }
 
 /// Serves the load balancer's readiness probes for as long as the process runs.
-pub(super) async fn accept_probes<E: Edge>(
+pub(super) async fn accept_probes<E: PlatformAdapter>(
     gateway: Rc<Gateway<E>>,
     listener: TcpListener,
 ) -> anyhow::Result<()> {
@@ -217,9 +217,9 @@
     }
 }
 
-async fn serve_probes<E: Edge>(gateway: Rc<Gateway<E>>, stream: TcpStream) {
+async fn serve_probes<E: PlatformAdapter>(gateway: Rc<Gateway<E>>, stream: TcpStream) {
     let service = service_fn(|request: Request<Incoming>| {
-        let is_ready_path = gateway.edge.is_ready_path(request.uri().path());
+        let is_ready_path = gateway.adapter.is_ready_path(request.uri().path());
         let status = match (is_ready_path, gateway.is_ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
--- a/src/kingcupgrade/transport/reload.rs
+++ b/src/kingcupgrade/transport/reload.rs
@@ -10,7 +10,7 @@
     time,
 };
 
-use super::{fleet::FleetHandle, gateway::edge::Edge};
+use super::{fleet::FleetHandle, gateway::adapter::PlatformAdapter};
 use crate::{coordination::fleet::FleetInput, core::fleet::FleetSettings, util::log};
 
 /// How often the file is read without a signal. A few seconds are soon enough for joining new
@@ -18,8 +18,8 @@
 const INTERVAL: Duration = Duration::from_secs(3);
 
 /// Reloads the settings for as long as the process runs.
-pub(super) async fn follow<E: Edge>(
-    edge: Arc<E>,
+pub(super) async fn follow<E: PlatformAdapter>(
+    adapter: Arc<E>,
     fleet: FleetHandle,
     settings: Arc<FleetSettings>,
 ) -> anyhow::Result<()> {
@@ -31,7 +31,7 @@
             _ = signals.recv() => true,
             () = time::sleep(INTERVAL) => false,
         };
-        match edge.read_settings() {
+        match adapter.read_settings() {
             Ok(read) => {
                 if is_signalled || read.seeds != seeds {
                     log::event("settings-reloaded", &read.seeds);
