--- a/src/kingcupgrade/transport/gateway/adapter.rs
+++ b/src/kingcupgrade/transport/gateway/adapter.rs
@@ -17,13 +17,13 @@
 
 /// The decoded head of a caller's request.
 #[derive(Clone, Debug, Default)]
-pub struct CallerHead {
+pub struct RequestHead {
     /// The request's id, which the response repeats.
     pub request_id: Option<String>,
     /// The caller's API key.
     pub key: Option<String>,
     /// The caller's time-out for the request.
-    pub patience: Option<Millis>,
+    pub timeout: Option<Millis>,
     /// The parts of the prompt.
     pub prompt: Vec<PromptPart>,
     /// The maximum number of tokens to generate; 0 if not stated.
@@ -34,20 +34,20 @@
 
 /// What the product adds to a request that it forwards to an upstream.
 #[derive(Clone, Debug)]
-pub struct Mark<'a> {
+pub struct ForwardContext<'a> {
     /// The intended upstream; another one listening on the same address must refuse the request.
     pub upstream: &'a UpstreamName,
     /// The organisation on whose behalf the request is made.
     pub organisation: Option<&'a Organisation>,
     /// The time left until the request's deadline.
-    pub patience: Millis,
+    pub time_left: Millis,
     /// The id of the event after which the stream is to be resumed.
     pub last_event: Option<u64>,
 }
 
 /// The decoded head of an upstream's response.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The id of the request that the response belongs to.
     pub request_id: Option<String>,
     /// Whether the response carries the upstream's seal.
@@ -55,7 +55,7 @@
     /// Whether the upstream states that it did not run the request.
     pub is_not_run: bool,
     /// Whether an upstream other than the intended one has answered.
-    pub is_elsewhere: bool,
+    pub is_misdirected: bool,
     /// The numbers of running and of waiting requests at the upstream.
     pub load: Option<(u32, u32)>,
 }
@@ -114,17 +114,17 @@
     fn decode_listing(&self, body: &[u8]) -> Result<ListingPage, CodedError>;
 
     /// Decodes the head of a caller's request.
-    fn read_caller(&self, head: &request::Parts) -> CallerHead;
+    fn decode_request_head(&self, head: &request::Parts) -> RequestHead;
 
     /// Prepares the headers of a request for an upstream: removes those that are reserved for the
     /// product and sets its own.
-    fn mark_request(&self, headers: &mut HeaderMap, mark: &Mark<'_>);
+    fn prepare_request(&self, headers: &mut HeaderMap, context: &ForwardContext<'_>);
 
     /// Decodes the head of an upstream's response.
-    fn read_answer(&self, head: &response::Parts) -> AnswerHead;
+    fn decode_response_head(&self, head: &response::Parts) -> ResponseHead;
 
     /// Adds the request's id to the headers of a response that the product generates itself.
-    fn mark_refusal(&self, headers: &mut HeaderMap, request_id: &str);
+    fn add_request_id(&self, headers: &mut HeaderMap, request_id: &str);
 
     /// Returns whether a path is that of the readiness probe.
     fn is_ready_path(&self, path: &str) -> bool;
--- a/src/kingcupgrade/transport/gateway/request/exchange.rs
+++ b/src/kingcupgrade/transport/gateway/request/exchange.rs
@@ -13,7 +13,7 @@
     coordination::traffic::{Grant, SendEnd},
     core::Millis,
     transport::gateway::{
-        adapter::{Mark, PlatformAdapter},
+        adapter::{ForwardContext, PlatformAdapter},
         pool::{Connection, NoConnection},
         response::strip_hop_headers,
     },
@@ -125,13 +125,13 @@
         let mut headers = self.headers.clone();
         strip_hop_headers(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
-        let mark = Mark {
+        let context = ForwardContext {
             upstream: &grant.upstream,
             organisation: self.organisation.as_ref(),
-            patience: self.deadline_at.since(self.gateway.now()),
+            time_left: self.deadline_at.since(self.gateway.now()),
             last_event,
         };
-        self.gateway.adapter.mark_request(&mut headers, &mark);
+        self.gateway.adapter.prepare_request(&mut headers, &context);
         let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -149,7 +149,7 @@
         attempt: AttemptGuard<E>,
         grant: &Grant,
     ) -> SendResult<E> {
-        let answer = self.gateway.adapter.read_answer(&head);
+        let answer = self.gateway.adapter.decode_response_head(&head);
         connection.keep_alive = keep_alive_of(&head.headers);
         if let Some((running, waiting)) = answer.load {
             let now = self.gateway.now();
@@ -163,8 +163,8 @@
             attempt.end(SendEnd::Broken);
             return SendResult::Unknown;
         }
-        if answer.is_not_run || answer.is_elsewhere {
-            let end = if answer.is_elsewhere { SendEnd::Replaced } else { SendEnd::Rejected };
+        if answer.is_not_run || answer.is_misdirected {
+            let end = if answer.is_misdirected { SendEnd::Replaced } else { SendEnd::Rejected };
             attempt.end(end);
             self.drain_rejection(body, connection).await;
             return SendResult::Rejected;
--- a/src/kingcupgrade/transport/gateway/request/mod.rs
+++ b/src/kingcupgrade/transport/gateway/request/mod.rs
@@ -19,7 +19,7 @@
 use self::exchange::SendResult;
 use super::{
     Gateway,
-    adapter::{CallerHead, PlatformAdapter},
+    adapter::{PlatformAdapter, RequestHead},
     relay::Relay,
     response::{ResponseBody, strip_hop_headers},
 };
@@ -109,7 +109,7 @@
         gateway: Rc<Gateway<E>>,
         configuration: &Configuration,
         head: request::Parts,
-        decoded: CallerHead,
+        decoded: RequestHead,
         body: Bytes,
     ) -> Result<ProxiedRequest<E>, Code> {
         let host = host_of(&head).ok_or(Code::BadRequest)?;
@@ -124,7 +124,7 @@
         let plan = configuration.services.get(&service);
         let stride = plan.and_then(|plan| plan.engine.as_ref()).map_or(1, |engine| engine.stride);
         let arrived = gateway.now();
-        let timeout = decoded.patience.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+        let timeout = decoded.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let mut traffic = gateway.traffic.borrow_mut();
         let output = match decoded.max_output {
             0 => 0,
--- a/src/kingcupgrade/transport/gateway/response.rs
+++ b/src/kingcupgrade/transport/gateway/response.rs
@@ -79,7 +79,7 @@
         headers.insert(header::RETRY_AFTER, value);
     }
     if let Some(request_id) = request_id {
-        adapter.mark_refusal(&mut headers, request_id);
+        adapter.add_request_id(&mut headers, request_id);
     }
     let mut response = Response::new(ResponseBody::Full(Full::new(text.into())));
     *response.status_mut() =
--- a/src/kingcupgrade/transport/gateway/serve.rs
+++ b/src/kingcupgrade/transport/gateway/serve.rs
@@ -161,7 +161,7 @@
 ) -> Result<Response<ResponseBody<E>>, Infallible> {
     let _counted = Counted::new(&gateway.open_requests);
     let (head, body) = request.into_parts();
-    let decoded = gateway.adapter.read_caller(&head);
+    let decoded = gateway.adapter.decode_request_head(&head);
     let request_id = decoded.request_id.clone();
     let refuse = |code, retry_after| {
         gateway.log_unrouted_refusal(code, retry_after, request_id.as_deref());
