--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -5,9 +5,9 @@
 //! the processor; scheduling decisions are direct calls of [`Traffic`], without messages or locks.
 
 pub mod adapter;
-pub mod course;
 mod decisions;
 pub mod events;
+pub mod latency;
 mod listing;
 pub mod pool;
 mod relay;
--- a/src/kingcupgrade/transport/gateway/request/reporting.rs
+++ b/src/kingcupgrade/transport/gateway/request/reporting.rs
@@ -8,8 +8,8 @@
     core::{Code, Millis},
     transport::gateway::{
         adapter::PlatformAdapter,
-        course::{LateAnswerLine, Times},
         decisions::{FailureLine, PlacementLine},
+        latency::{LateAnswerLine, Times},
         response::{ResponseBody, error_response},
     },
 };
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -2,7 +2,6 @@
 
 mod answers;
 mod connections;
-mod course;
 mod deposits;
 mod disk;
 mod domains;
@@ -13,6 +12,7 @@
 mod input;
 mod isolation;
 mod kept;
+mod latency;
 mod listing;
 mod load;
 mod members;
