--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -52,7 +52,7 @@
 
 /// An update from the control thread.
 #[derive(Debug)]
-pub enum FleetNews {
+pub enum FleetUpdate {
     /// The configuration or the state of a failure domain has changed.
     View(Arc<View>),
     /// The set of entries in the fleet has changed.
@@ -66,7 +66,7 @@
 }
 
 /// The receiver of updates; called on the control thread, so it must not block.
-pub type NewsSink = Box<dyn Fn(FleetNews) + Send>;
+pub type UpdateSink = Box<dyn Fn(FleetUpdate) + Send>;
 
 /// A handle to the control thread.
 #[derive(Clone)]
@@ -80,7 +80,7 @@
     /// # Errors
     ///
     /// Returns an error if the address can't be listened on or the data folder can't be read.
-    pub fn start(settings: Arc<FleetSettings>, news: NewsSink) -> anyhow::Result<FleetHandle> {
+    pub fn start(settings: Arc<FleetSettings>, sink: UpdateSink) -> anyhow::Result<FleetHandle> {
         let (tx, rx) = mpsc::channel();
         let clock = Clock::start();
         let control = settings.role == Role::Control;
@@ -94,7 +94,7 @@
             disk,
             disk_retry: Millis::ZERO,
             peers,
-            news,
+            sink,
             settings,
             operators: BTreeMap::new(),
             next_ticket: 1,
@@ -181,7 +181,7 @@
     /// When a failed disk is to be opened again.
     disk_retry: Millis,
     peers: Peers,
-    news: NewsSink,
+    sink: UpdateSink,
     settings: Arc<FleetSettings>,
     operators: BTreeMap<Ticket, oneshot::Sender<Reply>>,
     next_ticket: Ticket,
@@ -306,15 +306,15 @@
                 }
             }
             FleetOutput::ViewChanged => {
-                (self.news)(FleetNews::View(Arc::new(self.node.view().clone())));
+                (self.sink)(FleetUpdate::View(Arc::new(self.node.view().clone())));
             }
             FleetOutput::Entries(entries) => {
                 log::event("entries", &entries.len());
-                (self.news)(FleetNews::Entries(entries));
+                (self.sink)(FleetUpdate::Entries(entries));
             }
-            FleetOutput::Heard(from, report) => (self.news)(FleetNews::Heard(from, report)),
-            FleetOutput::Listed(from, news) => (self.news)(FleetNews::Listed(from, news)),
-            FleetOutput::ListingWanted(from) => (self.news)(FleetNews::ListingWanted(from)),
+            FleetOutput::Heard(from, report) => (self.sink)(FleetUpdate::Heard(from, report)),
+            FleetOutput::Listed(from, update) => (self.sink)(FleetUpdate::Listed(from, update)),
+            FleetOutput::ListingWanted(from) => (self.sink)(FleetUpdate::ListingWanted(from)),
             FleetOutput::SourceChanged(source) => log::event("configuration-source", &source),
             FleetOutput::Restarted { instance, restarts } => {
                 counter!("kingcup_restarts_seen").increment(1);
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -40,7 +40,7 @@
     scheduling_delay::probe_scheduling_delay,
 };
 use super::{
-    fleet::{FleetHandle, FleetNews},
+    fleet::{FleetHandle, FleetUpdate},
     listen::listen,
     metrics, reload,
     signals::EarlySignals,
@@ -176,9 +176,9 @@
         }
     }
 
-    fn on_fleet_update(&self, update: FleetNews) {
+    fn on_fleet_update(&self, update: FleetUpdate) {
         match update {
-            FleetNews::View(view) => {
+            FleetUpdate::View(view) => {
                 let out = view.domains().filter(|s| s.out).map(|s| s.name.clone());
                 let out: BTreeSet<_> = out.collect();
                 let mut traffic = self.traffic.borrow_mut();
@@ -196,7 +196,7 @@
                     Err(err) => log::warning("configuration-unreadable", &err),
                 }
             }
-            FleetNews::Entries(entries) => {
+            FleetUpdate::Entries(entries) => {
                 let own = &self.settings.failure_domain;
                 let local = entries.iter().filter(|Resident(_, domain)| domain == own);
                 let local: Vec<Instance> = local.map(|Resident(entry, _)| entry.clone()).collect();
@@ -212,9 +212,9 @@
                     self.fleet.tell(FleetInput::WantListing(None));
                 }
             }
-            FleetNews::Listed(from, update) => self.on_listing_update(from, update),
-            FleetNews::ListingWanted(from) => self.send_listing(from),
-            FleetNews::Heard(from, report) => {
+            FleetUpdate::Listed(from, update) => self.on_listing_update(from, update),
+            FleetUpdate::ListingWanted(from) => self.send_listing(from),
+            FleetUpdate::Heard(from, report) => {
                 self.traffic.borrow_mut().on_report(self.now(), from, report);
             }
         }
