--- a/src/kingcupgrade/transport/callers/relay.rs
+++ b/src/kingcupgrade/transport/callers/relay.rs
@@ -53,7 +53,7 @@
                 verdicts.recv_timeout(timeout).unwrap_or_else(|_| self.on_verdict_timeout());
             let address = match verdict {
                 Verdict::Start(_, address) => address,
-                Verdict::HungUp => {
+                Verdict::Disconnected => {
                     self.report_disconnect();
                     return;
                 }
--- a/src/kingcupgrade/transport/daemon.rs
+++ b/src/kingcupgrade/transport/daemon.rs
@@ -19,7 +19,7 @@
     fleet::unix_ms,
     operators,
     peers::{PeerConfig, Peers},
-    platform::{self, Watched},
+    platform::{self, WatchedServices},
 };
 use crate::{
     coordination::{
@@ -59,7 +59,7 @@
     let node = Node::new(clock.now(), (*settings).clone(), unix_ms(), claimer, control);
     let view: SharedView = Arc::new(RwLock::new(Arc::new(View::default())));
     let peers = Peers::start(PeerConfig::of(&settings, tx.clone()))?;
-    let watched = Watched::default();
+    let watched = WatchedServices::default();
     let own = settings.own();
     let url = settings.platform_list.clone();
     platform::start(url, own.failure_domain.clone(), watched.clone(), tx.clone())?;
@@ -110,7 +110,7 @@
     node: Node,
     disk: Option<Disk>,
     peers: Peers,
-    watched: Watched,
+    watched: WatchedServices,
     view: SharedView,
     /// Cloned for the threads that are started later.
     events: mpsc::Sender<Event>,
--- a/src/kingcupgrade/transport/mod.rs
+++ b/src/kingcupgrade/transport/mod.rs
@@ -54,7 +54,7 @@
     /// Send it to this upstream.
     Start(UpstreamName, SocketAddr),
     /// Stop: the caller has disconnected.
-    HungUp,
+    Disconnected,
     /// Respond with the stored response to an earlier request with the same idempotency key.
     Replay(KeptAnswer),
     /// Respond with an error.
--- a/src/kingcupgrade/transport/platform.rs
+++ b/src/kingcupgrade/transport/platform.rs
@@ -59,7 +59,7 @@
 }
 
 /// The services whose upstreams are polled.
-pub type Watched = Arc<Mutex<BTreeSet<Service>>>;
+pub type WatchedServices = Arc<Mutex<BTreeSet<Service>>>;
 
 /// Starts the thread that polls the list.
 ///
@@ -69,7 +69,7 @@
 pub fn start(
     url: String,
     domain: FailureDomain,
-    watched: Watched,
+    watched: WatchedServices,
     events: mpsc::Sender<Event>,
 ) -> anyhow::Result<()> {
     let config = ureq::Agent::config_builder().timeout_global(Some(POLL_TIMEOUT)).build();
