--- a/src/kingcupgrade/transport/gateway/events.rs
+++ b/src/kingcupgrade/transport/gateway/events.rs
@@ -12,7 +12,7 @@
 
 /// Splits a byte stream into complete events.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     /// The beginning of an incomplete event.
     buffer: BytesMut,
 }
@@ -28,7 +28,7 @@
     pub last_id: Option<u64>,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Appends bytes and returns the events that are now complete, or `None` if there are none.
     pub fn push(&mut self, data: &Bytes) -> Option<Events> {
         if self.buffer.is_empty() && data.ends_with(b"\n\n") {
@@ -45,7 +45,7 @@
     }
 
     /// Returns whether the buffered bytes exceed the maximum length of an event.
-    pub fn is_overfull(&self) -> bool {
+    pub fn is_too_long(&self) -> bool {
         self.buffer.len() > MAX_EVENT_LEN
     }
 
--- a/src/kingcupgrade/transport/gateway/pool.rs
+++ b/src/kingcupgrade/transport/gateway/pool.rs
@@ -110,7 +110,7 @@
 
 /// Why no connection is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoConnection {
+pub enum CheckoutError {
     /// The maximum number of connections is open, and all are in use.
     Full,
     /// Connecting to the upstream failed or timed out.
@@ -135,7 +135,7 @@
         upstream: &UpstreamName,
         address: SocketAddr,
         max_open: usize,
-    ) -> Result<Connection, NoConnection> {
+    ) -> Result<Connection, CheckoutError> {
         if let Some(connection) = self.take_idle(upstream) {
             return Ok(connection);
         }
@@ -160,12 +160,12 @@
         upstream: &UpstreamName,
         address: SocketAddr,
         max_open: usize,
-    ) -> Result<Connection, NoConnection> {
+    ) -> Result<Connection, CheckoutError> {
         {
             let mut slots = self.slots.borrow_mut();
             let slot = slots.entry(upstream.clone()).or_default();
             if slot.open >= max_open {
-                return Err(NoConnection::Full);
+                return Err(CheckoutError::Full);
             }
             slot.open += 1;
         }
@@ -183,7 +183,7 @@
         };
         let connected = timeout(CONNECT_TIMEOUT, connecting).await;
         let Ok(Some((sender, connection))) = connected else {
-            return Err(NoConnection::Unreachable);
+            return Err(CheckoutError::Unreachable);
         };
         let driver: Driver = Box::pin(async move {
             // The task that awaits the response receives the error as well; an idle connection is
@@ -195,7 +195,7 @@
     }
 
     /// Returns a connection to the pool after its response has been read to the end.
-    pub fn give_back(&self, mut connection: Connection) {
+    pub fn checkin(&self, mut connection: Connection) {
         if !connection.is_ready() {
             return;
         }
--- a/src/kingcupgrade/transport/gateway/relay.rs
+++ b/src/kingcupgrade/transport/gateway/relay.rs
@@ -15,7 +15,7 @@
 
 use super::{
     adapter::PlatformAdapter,
-    events::EventCutter,
+    events::EventSplitter,
     pool::Connection,
     request::{AttemptGuard, ProxiedRequest, UpstreamResponse},
     response::TruncatedResponse,
@@ -57,7 +57,7 @@
 pub(super) struct Relay<E: PlatformAdapter> {
     request: Rc<ProxiedRequest<E>>,
     state: State<E>,
-    cutter: EventCutter,
+    splitter: EventSplitter,
     /// The id of the last event forwarded.
     last_id: Option<u64>,
     /// When the last event arrived.
@@ -80,7 +80,7 @@
         let silent_until = request.hang_deadline();
         Relay {
             state: State::Reading(Source { body, connection, attempt }),
-            cutter: EventCutter::default(),
+            splitter: EventSplitter::default(),
             last_id: None,
             last_event: None,
             longest_pause: Duration::ZERO,
@@ -124,7 +124,7 @@
                         return Poll::Ready(Some(Ok(Frame::data(events))));
                     }
                 }
-                Poll::Ready(None) if self.cutter.pending() == 0 => {
+                Poll::Ready(None) if self.splitter.pending() == 0 => {
                     self.finish();
                     return Poll::Ready(None);
                 }
@@ -147,7 +147,7 @@
 
     /// Processes bytes from the upstream, and returns the events that are complete with them.
     fn on_data(&mut self, data: &Bytes) -> Option<Bytes> {
-        let events = self.cutter.push(data)?;
+        let events = self.splitter.push(data)?;
         self.last_id = events.last_id.or(self.last_id);
         if let State::Reading(source) = &self.state {
             source.attempt.on_events(events.count * self.request.stride);
@@ -194,7 +194,7 @@
         if !self.request.may_repeat() {
             return false;
         }
-        self.cutter = EventCutter::default();
+        self.splitter = EventSplitter::default();
         if let State::Reading(source) = std::mem::replace(&mut self.state, State::Ended) {
             source.attempt.end(SendEnd::Broken);
         }
@@ -218,7 +218,7 @@
         if let State::Reading(source) = std::mem::replace(&mut self.state, State::Ended) {
             source.attempt.end(SendEnd::Answered);
             self.request.report_answered(Millis(self.longest_pause.as_millis() as u64));
-            self.request.gateway.pool.give_back(source.connection);
+            self.request.gateway.pool.checkin(source.connection);
         }
     }
 
--- a/src/kingcupgrade/transport/gateway/request/exchange.rs
+++ b/src/kingcupgrade/transport/gateway/request/exchange.rs
@@ -14,7 +14,7 @@
     core::Millis,
     transport::gateway::{
         adapter::{ForwardContext, PlatformAdapter},
-        pool::{Connection, NoConnection},
+        pool::{CheckoutError, Connection},
         response::strip_hop_headers,
     },
     util::log,
@@ -70,8 +70,8 @@
                 Ok(connection) => connection,
                 Err(err) => {
                     let end = match err {
-                        NoConnection::Full => SendEnd::Cancelled,
-                        NoConnection::Unreachable => SendEnd::Unreachable,
+                        CheckoutError::Full => SendEnd::Cancelled,
+                        CheckoutError::Unreachable => SendEnd::Unreachable,
                     };
                     attempt.end(end);
                     return SendResult::NotSent;
@@ -189,7 +189,7 @@
     async fn drain_rejection(&self, body: Incoming, mut connection: Connection) {
         let reading = connection.drive(Limited::new(body, MAX_REJECTION_LEN).collect());
         if let Ok(Ok(_)) = timeout(REJECTION_TIMEOUT.as_duration(), reading).await {
-            self.gateway.pool.give_back(connection);
+            self.gateway.pool.checkin(connection);
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/request/mod.rs
+++ b/src/kingcupgrade/transport/gateway/request/mod.rs
@@ -221,12 +221,12 @@
                         self.report_answered(Millis::ZERO);
                     }
                     attempt.end(if is_failure { SendEnd::Failed } else { SendEnd::Answered });
-                    self.gateway.pool.give_back(connection);
+                    self.gateway.pool.checkin(connection);
                     return complete_response(head, body.to_bytes());
                 }
                 Ok(Ok(body)) => {
                     attempt.end(SendEnd::Failed);
-                    self.gateway.pool.give_back(connection);
+                    self.gateway.pool.checkin(connection);
                     match self.obtain_again().await {
                         Some(again) => response = again,
                         None => return complete_response(head, body.to_bytes()),
--- a/tests/testsuite/connections.rs
+++ b/tests/testsuite/connections.rs
@@ -119,7 +119,7 @@
             let response = connection.drive(sending).await.expect("an answer");
             let body = connection.drive(response.into_body().collect()).await.expect("a body");
             assert_eq!(body.to_bytes(), "ok");
-            pool.give_back(connection);
+            pool.checkin(connection);
         }
         let events: Vec<_> = rx.try_iter().map(|(what, _)| what).collect();
         assert_eq!(events, ["request"; 3]);
@@ -138,7 +138,7 @@
         let sending = connection.sender.try_send_request(request());
         let response = connection.drive(sending).await.expect("an answer");
         connection.drive(response.into_body().collect()).await.expect("a body");
-        pool.give_back(connection);
+        pool.checkin(connection);
         let again = connect(&pool, address).await;
         drop(again);
         let events = std::iter::from_fn(|| rx.recv_timeout(BUSY).ok());
--- a/tests/testsuite/events.rs
+++ b/tests/testsuite/events.rs
@@ -1,7 +1,7 @@
 //! Whole events of streamed answers, however their bytes arrive.
 
 use bytes::Bytes;
-use kingcupgrade::transport::gateway::events::EventCutter;
+use kingcupgrade::transport::gateway::events::EventSplitter;
 use proptest::prelude::*;
 
 proptest! {
@@ -15,12 +15,12 @@
     ) {
         let whole: String = (1..=count).map(|id| format!("id: {id}\ndata: piece {id}\n\n")).collect();
         let sent = &whole.as_bytes()[..whole.len().saturating_sub(missing)];
-        let mut cutter = EventCutter::default();
+        let mut splitter = EventSplitter::default();
         let (mut passed, mut last, mut events) = (Vec::new(), None, 0);
         let (mut at, mut turn) = (0, 0);
         while at < sent.len() {
             let end = (at + cuts[turn % cuts.len()]).min(sent.len());
-            if let Some(cut) = cutter.push(&Bytes::copy_from_slice(&sent[at..end])) {
+            if let Some(cut) = splitter.push(&Bytes::copy_from_slice(&sent[at..end])) {
                 prop_assert!(cut.bytes.ends_with(b"\n\n"));
                 passed.extend_from_slice(&cut.bytes);
                 last = cut.last_id.or(last);
@@ -29,8 +29,8 @@
             (at, turn) = (end, turn + 1);
         }
         prop_assert_eq!(passed.as_slice(), &sent[..passed.len()]);
-        prop_assert_eq!(passed.len() + cutter.pending(), sent.len());
+        prop_assert_eq!(passed.len() + splitter.pending(), sent.len());
         prop_assert_eq!(last.unwrap_or(0), events);
-        prop_assert_eq!(cutter.pending() == 0, missing == 0 || passed.len() == sent.len());
+        prop_assert_eq!(splitter.pending() == 0, missing == 0 || passed.len() == sent.len());
     }
 }
