--- a/src/kingcupgrade/ops/fleet.rs
+++ b/src/kingcupgrade/ops/fleet.rs
@@ -2,7 +2,9 @@
 
 use crate::{
     core::settings::Role,
-    transport::{controls, gateway, gateway::adapter::PlatformAdapter, signals::EarlySignals},
+    transport::{
+        control_server, gateway, gateway::adapter::PlatformAdapter, signals::EarlySignals,
+    },
     util::process,
 };
 
@@ -18,7 +20,7 @@
         let settings = Arc::new(edge.read_settings()?);
         match settings.role {
             Role::Entry => gateway::run(edge, settings, signals),
-            Role::Control => controls::run(edge, settings, signals),
+            Role::Control => control_server::run(edge, settings, signals),
         }
     })
 }
--- a/src/kingcupgrade/transport/mod.rs
+++ b/src/kingcupgrade/transport/mod.rs
@@ -4,7 +4,7 @@
 //! and carry out its verdicts; none of them makes decisions about other requests.
 
 pub mod callers;
-pub mod controls;
+pub mod control_server;
 pub mod daemon;
 pub mod engines;
 pub mod fleet;
