--- a/src/kingcupgrade/transport/callers/mod.rs
+++ b/src/kingcupgrade/transport/callers/mod.rs
@@ -110,10 +110,10 @@
     }
     // The disconnect is reported to the node by this thread rather than by the connection's, so
     // that the node knows that nothing more is sent for the request.
-    let answer = request.on_disconnect(move || {
+    let responder = request.on_disconnect(move || {
         let _ = disconnect_tx.send(Verdict::Disconnected);
     });
     let deadline = Instant::now() + Duration::from_millis(admitted.document.limits.deadline_ms);
     let relay = Relay { id, admitted: &admitted, shared, deadline, arrived: Instant::now() };
-    relay.run(answer, &rx);
+    relay.run(responder, &rx);
 }
--- a/src/kingcupgrade/transport/callers/relay.rs
+++ b/src/kingcupgrade/transport/callers/relay.rs
@@ -46,7 +46,7 @@
 impl Relay<'_> {
     /// Carries out the node's verdicts until the request has ended.
     pub(super) fn run(&self, pending: Responder, verdicts: &mpsc::Receiver<Verdict>) {
-        let mut answer = ResponseState::Pending(pending);
+        let mut state = ResponseState::Pending(pending);
         loop {
             let timeout = self.remaining() + VERDICT_SLACK;
             let verdict =
@@ -58,19 +58,19 @@
                     return;
                 }
                 Verdict::Replay(kept) => {
-                    replay(answer, &kept);
+                    replay(state, &kept);
                     return;
                 }
                 Verdict::GiveUp { code, retry_after } => {
-                    fail(answer, code, retry_after);
+                    fail(state, code, retry_after);
                     return;
                 }
             };
             let is_stream = self.admitted.document.kind == Kind::ModelEngine;
             let next =
-                if is_stream { self.stream(answer, address) } else { self.buffer(answer, address) };
+                if is_stream { self.stream(state, address) } else { self.buffer(state, address) };
             match next {
-                Some(unfinished) => answer = unfinished,
+                Some(unfinished) => state = unfinished,
                 None => return,
             }
         }
@@ -114,18 +114,14 @@
 
     /// Makes an attempt whose response is forwarded once it is complete. Returns the response state
     /// unless the request has ended.
-    fn buffer(
-        &self,
-        answer: ResponseState,
-        address: std::net::SocketAddr,
-    ) -> Option<ResponseState> {
+    fn buffer(&self, state: ResponseState, address: std::net::SocketAddr) -> Option<ResponseState> {
         let sent = Instant::now();
         let mut response =
             match upstream::send(&self.admitted.upstream, address, 0, self.remaining()) {
                 Ok(response) => response,
                 Err(end) => {
                     self.end(end, 0, None, None);
-                    return Some(answer);
+                    return Some(state);
                 }
             };
         let first_byte = sent.elapsed();
@@ -133,7 +129,7 @@
         let status = response.status().as_u16();
         let Ok(body) = upstream::read_whole(response.body_mut(), MAX_RESPONSE_LEN) else {
             self.end(AttemptEnd::Broken, 0, Some(first_byte), None);
-            return Some(answer);
+            return Some(state);
         };
         let kept = self.admitted.keyed.as_ref().map(|_| KeptAnswer {
             status,
@@ -142,7 +138,7 @@
         });
         self.end(AttemptEnd::Completed, 1, Some(first_byte), kept);
         self.record_done();
-        if let ResponseState::Pending(pending) = answer {
+        if let ResponseState::Pending(pending) = state {
             respond_complete(pending, Code::Done, status, &content_type, body);
         }
         None
@@ -150,12 +146,8 @@
 
     /// Makes an attempt whose response is forwarded event by event. Returns the response state
     /// unless the request has ended.
-    fn stream(
-        &self,
-        answer: ResponseState,
-        address: std::net::SocketAddr,
-    ) -> Option<ResponseState> {
-        let offset = match &answer {
+    fn stream(&self, state: ResponseState, address: std::net::SocketAddr) -> Option<ResponseState> {
+        let offset = match &state {
             ResponseState::Pending(_) => 0,
             ResponseState::Streaming { events, .. } => *events,
         };
@@ -165,24 +157,24 @@
                 Ok(response) => response,
                 Err(end) => {
                     self.end(end, cost_of(offset), None, None);
-                    return Some(answer);
+                    return Some(state);
                 }
             };
         if offset > 0 && resumed_from(&response) != Some(offset) {
             // The upstream started over, and its first events may differ from those already sent.
             self.end(AttemptEnd::BrokenForGood, cost_of(offset), None, None);
-            return Some(answer);
+            return Some(state);
         }
-        self.relay_events(answer, response, sent)
+        self.relay_events(state, response, sent)
     }
 
     fn relay_events(
         &self,
-        answer: ResponseState,
+        state: ResponseState,
         mut response: ureq::http::Response<ureq::Body>,
         sent: Instant,
     ) -> Option<ResponseState> {
-        let (mut stream, mut events) = match answer {
+        let (mut stream, mut events) = match state {
             ResponseState::Streaming { stream, events } => (stream, events),
             ResponseState::Pending(pending) => (begin_stream(pending, &response), 0),
         };
--- a/src/kingcupgrade/transport/callers/response.rs
+++ b/src/kingcupgrade/transport/callers/response.rs
@@ -30,18 +30,18 @@
 }
 
 /// Responds with the stored response to an earlier request with the same idempotency key.
-pub(super) fn replay(answer: ResponseState, kept: &KeptAnswer) {
-    let ResponseState::Pending(pending) = answer else { return };
+pub(super) fn replay(state: ResponseState, kept: &KeptAnswer) {
+    let ResponseState::Pending(pending) = state else { return };
     let body = kept.body.clone().unwrap_or_default().into_bytes();
     count(Code::Replayed);
     respond_complete(pending, Code::Replayed, kept.status, &kept.content_type, body);
 }
 
 /// Responds with an error, as an error event if a stream has begun.
-pub(super) fn fail(answer: ResponseState, code: Code, retry_after: Millis) {
+pub(super) fn fail(state: ResponseState, code: Code, retry_after: Millis) {
     count(code);
     let err = CodedError::new(code, "");
-    match answer {
+    match state {
         ResponseState::Pending(pending) => {
             pending.respond(http::ServerResponse::refusal(&err, retry_after))
         }
--- a/src/kingcupgrade/transport/gateway/request/exchange.rs
+++ b/src/kingcupgrade/transport/gateway/request/exchange.rs
@@ -79,8 +79,8 @@
             };
             match self.send_on(connection, grant, last_event).await {
                 ExchangeResult::Stale => {}
-                ExchangeResult::Response(answer) => {
-                    let (head, body, connection) = *answer;
+                ExchangeResult::Response(response) => {
+                    let (head, body, connection) = *response;
                     return self.evaluate_head(head, body, connection, attempt, grant).await;
                 }
                 ExchangeResult::Broken => {
@@ -149,22 +149,22 @@
         attempt: AttemptGuard<E>,
         grant: &Grant,
     ) -> SendResult<E> {
-        let answer = self.gateway.adapter.decode_response_head(&head);
+        let decoded = self.gateway.adapter.decode_response_head(&head);
         connection.keep_alive = keep_alive_of(&head.headers);
-        if let Some((running, waiting)) = answer.load {
+        if let Some((running, waiting)) = decoded.load {
             let now = self.gateway.now();
             let mut traffic = self.gateway.traffic.borrow_mut();
             traffic.on_load(now, &grant.upstream, running, waiting);
         }
         self.progress.borrow_mut().attempts += 1;
-        if answer.request_id != self.request_id {
-            let (asked, answered) = (&self.request_id, &answer.request_id);
+        if decoded.request_id != self.request_id {
+            let (asked, answered) = (&self.request_id, &decoded.request_id);
             log::warning("answer-of-another-request", &(&grant.upstream, asked, answered));
             attempt.end(SendEnd::Broken);
             return SendResult::Unknown;
         }
-        if answer.is_not_run || answer.is_misdirected {
-            let end = if answer.is_misdirected { SendEnd::Replaced } else { SendEnd::Rejected };
+        if decoded.is_not_run || decoded.is_misdirected {
+            let end = if decoded.is_misdirected { SendEnd::Replaced } else { SendEnd::Rejected };
             attempt.end(end);
             self.drain_rejection(body, connection).await;
             return SendResult::Rejected;
@@ -178,7 +178,7 @@
                 | StatusCode::REQUEST_TIMEOUT
                 | StatusCode::MISDIRECTED_REQUEST
         );
-        if (head.status.is_success() && !answer.is_sealed) || implies_not_run {
+        if (head.status.is_success() && !decoded.is_sealed) || implies_not_run {
             attempt.end(SendEnd::Broken);
             return SendResult::Unknown;
         }
