--- a/src/kingcupgrade/transport/control_server.rs
+++ b/src/kingcupgrade/transport/control_server.rs
@@ -90,7 +90,7 @@
         }
     }
     log::event("draining", &settings.instance());
-    fleet.tell(FleetInput::Drain);
+    fleet.send(FleetInput::Drain);
     sleep(HAND_OVER_TIME.as_duration()).await;
     log::event("stopped", &settings.instance());
     Ok(())
@@ -168,7 +168,7 @@
 
     /// Submits a change of the record, and responds with its revision.
     async fn change(&self, command: Command) -> OperatorResponse {
-        match self.fleet.ask(command, RECORD_TIMEOUT).await {
+        match self.fleet.submit(command, RECORD_TIMEOUT).await {
             Some(Reply::Accepted { revision, index }) => {
                 log::event("accepted", &(revision, index));
                 json_response(StatusCode::OK, json!({ "revision": revision }).to_string().into())
@@ -179,7 +179,7 @@
     }
 
     async fn read(&self) -> OperatorResponse {
-        match self.fleet.ask(Command::Read, RECORD_TIMEOUT).await {
+        match self.fleet.submit(Command::Read, RECORD_TIMEOUT).await {
             Some(Reply::Whole(Some(stored))) => {
                 json_response(StatusCode::OK, Bytes::copy_from_slice(stored.text.as_bytes()))
             }
--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -104,12 +104,12 @@
     }
 
     /// Sends an input to the node; it is lost if the thread has ended.
-    pub fn tell(&self, input: FleetInput) {
+    pub fn send(&self, input: FleetInput) {
         let _ = self.tx.send(Event::Input(input));
     }
 
     /// Submits a command to the record and returns the reply, if there is one within `timeout`.
-    pub async fn ask(&self, command: Command, timeout: Millis) -> Option<Reply> {
+    pub async fn submit(&self, command: Command, timeout: Millis) -> Option<Reply> {
         let (tx, rx) = oneshot::channel();
         self.tx.send(Event::Asked(command, timeout, tx)).ok()?;
         rx.await.ok()
--- a/src/kingcupgrade/transport/gateway/listing.rs
+++ b/src/kingcupgrade/transport/gateway/listing.rs
@@ -82,7 +82,7 @@
         let update = known.listing.on_read(&self.settings.instance(), unix_ms(), upstreams);
         drop(known);
         if let Some(age) = read_time {
-            self.fleet.tell(FleetInput::ShareListing(ListingNews { age, ..update }, duty));
+            self.fleet.send(FleetInput::ShareListing(ListingNews { age, ..update }, duty));
         }
         self.set_listing();
     }
@@ -93,7 +93,7 @@
         let age = update.age;
         let mut known = self.listing.borrow_mut();
         if !known.listing.on_news(update) {
-            self.fleet.tell(FleetInput::WantListing(Some(from)));
+            self.fleet.send(FleetInput::WantListing(Some(from)));
             return;
         }
         known.age = Some(Age { initial: age, ..Age::start() });
@@ -114,7 +114,7 @@
         let known = self.listing.borrow();
         let age = known.age.as_ref().and_then(Age::get).filter(|age| *age < MAX_TOLD_AGE);
         if let (Some(age), Some(complete)) = (age, known.listing.whole()) {
-            self.fleet.tell(FleetInput::TellListing(to, ListingNews { age, ..complete }));
+            self.fleet.send(FleetInput::TellListing(to, ListingNews { age, ..complete }));
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -209,7 +209,7 @@
                 }
                 self.traffic.borrow_mut().set_entries(all);
                 if !self.listing_plan.borrow().is_known() {
-                    self.fleet.tell(FleetInput::WantListing(None));
+                    self.fleet.send(FleetInput::WantListing(None));
                 }
             }
             FleetUpdate::Listed(from, update) => self.on_listing_update(from, update),
@@ -325,7 +325,7 @@
                 next_share = now + share_interval(traffic.entry_count());
                 traffic.tell(now)
             };
-            gateway.fleet.tell(FleetInput::Share(report));
+            gateway.fleet.send(FleetInput::Share(report));
         }
         if now >= next_sweep {
             next_sweep = now + SWEEP;
@@ -336,7 +336,7 @@
             gateway.pool.sweep(|name| traffic.upstreams().contains_key(name));
         }
         if gateway.advance_shutdown() == DrainStage::Stopped {
-            gateway.fleet.tell(FleetInput::Drain);
+            gateway.fleet.send(FleetInput::Drain);
             time::sleep(POLL).await;
             return Ok(());
         }
--- a/src/kingcupgrade/transport/reload.rs
+++ b/src/kingcupgrade/transport/reload.rs
@@ -38,7 +38,7 @@
                 }
                 if read.seeds != seeds {
                     seeds.clone_from(&read.seeds);
-                    fleet.tell(FleetInput::SeedsChanged(read.seed_instances()));
+                    fleet.send(FleetInput::SeedsChanged(read.seed_instances()));
                 }
                 was_readable = true;
             }
