--- a/tests/testsuite/latency.rs
+++ b/tests/testsuite/latency.rs
@@ -1,4 +1,4 @@
-//! Classification of answered requests by their latency.
+//! How answered requests are judged.
 
 use kingcupgrade::{
     core::Millis,
@@ -18,8 +18,8 @@
     }
 }
 
-/// Guards against late responses that are attributed to the wrong cause: an engineer looking into
-/// the latency would tune the queue although the upstream is slow, or vice versa.
+/// Guards against late answers that are blamed on the wrong cause: whoever looks for why callers
+/// wait would mend the queue for a slow upstream, or the other way round.
 #[test]
 fn a_late_answer_is_counted_under_what_made_it_late() {
     assert_eq!(times(200, 200, 250).classify(), Judgement::OnTime);
@@ -29,6 +29,6 @@
     assert_eq!(repeated.classify(), Judgement::LateRepeated);
     let paused = Times { longest_pause: Millis(400), ..times(0, 200, 300) };
     assert_eq!(paused.classify(), Judgement::Paused);
-    // A route without a limit allows any pause.
+    // Nothing is said of pauses where the route allows any.
     assert_eq!(Times { max_pause: Millis::ZERO, ..paused }.classify(), Judgement::OnTime);
 }
