--- a/src/kingcupgrade/transport/control_server.rs
+++ b/src/kingcupgrade/transport/control_server.rs
@@ -174,7 +174,7 @@
                 json_response(StatusCode::OK, json!({ "revision": revision }).to_string().into())
             }
             Some(Reply::Refused(err)) => refusal_of(&err),
-            _ => refusal(Code::NotLeader, "the leader of the record did not respond in time"),
+            _ => refusal(Code::NotLeader, "the record did not respond"),
         }
     }
 
@@ -185,7 +185,7 @@
             }
             Some(Reply::Whole(None)) => refusal(Code::NotReady, "there is no configuration yet"),
             Some(Reply::Refused(err)) => refusal_of(&err),
-            _ => refusal(Code::NotLeader, "the leader of the record did not respond in time"),
+            _ => refusal(Code::NotLeader, "the record did not respond"),
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/pool.rs
+++ b/src/kingcupgrade/transport/gateway/pool.rs
@@ -32,7 +32,7 @@
 /// close, it is unknown whether it ran.
 const MAX_IDLE: Duration = Duration::from_millis(4_000);
 /// The fraction of an upstream's stated keep-alive time during which a connection is reused.
-const IDLE_PART: f64 = 0.6;
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
 /// An open connection, driven by the task that uses it.
 ///
@@ -145,7 +145,7 @@
     fn take_idle(&self, upstream: &UpstreamName) -> Option<Connection> {
         loop {
             let mut idle = self.slots.borrow_mut().get_mut(upstream)?.idle.pop()?;
-            let stated = idle.connection.keep_alive.map(|keep| keep.mul_f64(IDLE_PART));
+            let stated = idle.connection.keep_alive.map(|keep| keep.mul_f64(KEEP_ALIVE_FRACTION));
             let max_idle = stated.map_or(MAX_IDLE, |stated| stated.min(MAX_IDLE));
             if idle.since.elapsed() <= max_idle && idle.connection.is_ready() {
                 return Some(idle.connection);
--- a/src/kingcupgrade/transport/gateway/relay.rs
+++ b/src/kingcupgrade/transport/gateway/relay.rs
@@ -201,7 +201,7 @@
         let request = self.request.clone();
         let last_id = self.last_id;
         self.state = State::Resuming(Box::pin(async move {
-            let response = request.obtain(last_id).await.ok()?;
+            let response = request.fetch_response(last_id).await.ok()?;
             response.head.status.is_success().then_some(response)
         }));
         true
--- a/src/kingcupgrade/transport/gateway/request/mod.rs
+++ b/src/kingcupgrade/transport/gateway/request/mod.rs
@@ -176,7 +176,7 @@
     /// Returns the response: a streamed one as soon as its head has arrived, any other one once it
     /// is complete.
     pub(super) async fn serve(self: Rc<ProxiedRequest<E>>) -> Response<ResponseBody<E>> {
-        let response = match self.obtain(None).await {
+        let response = match self.fetch_response(None).await {
             Ok(response) => response,
             Err((code, retry_after)) => return self.refuse(code, retry_after),
         };
@@ -227,7 +227,7 @@
                 Ok(Ok(body)) => {
                     attempt.end(SendEnd::Failed);
                     self.gateway.pool.checkin(connection);
-                    match self.obtain_again().await {
+                    match self.retry().await {
                         Some(again) => response = again,
                         None => return complete_response(head, body.to_bytes()),
                     }
@@ -235,7 +235,7 @@
                 Ok(Err(_)) => {
                     attempt.end(SendEnd::Broken);
                     drop(connection);
-                    match self.obtain_again().await {
+                    match self.retry().await {
                         Some(again) => response = again,
                         None => return self.refuse(Code::AnswerBroken, Millis::ZERO),
                     }
@@ -249,11 +249,11 @@
     }
 
     /// Retries the request if that is permitted.
-    async fn obtain_again(self: &Rc<ProxiedRequest<E>>) -> Option<UpstreamResponse<E>> {
+    async fn retry(self: &Rc<ProxiedRequest<E>>) -> Option<UpstreamResponse<E>> {
         if !self.may_repeat() {
             return None;
         }
-        self.obtain(None).await.ok()
+        self.fetch_response(None).await.ok()
     }
 
     /// Returns whether a request that may have run may be sent again; if so, takes the repeat from
@@ -272,7 +272,7 @@
     /// # Errors
     ///
     /// Returns the code with which to refuse the request, and the retry delay.
-    pub(super) async fn obtain(
+    pub(super) async fn fetch_response(
         self: &Rc<ProxiedRequest<E>>,
         last_event: Option<u64>,
     ) -> Result<UpstreamResponse<E>, (Code, Millis)> {
--- a/src/kingcupgrade/transport/gateway/serve.rs
+++ b/src/kingcupgrade/transport/gateway/serve.rs
@@ -35,7 +35,7 @@
 /// The fraction of the socket limit up to which callers' connections are kept open after a
 /// response. Callers keep idle connections for many seconds, and once all sockets are in use no new
 /// caller could connect.
-const KEEP_ALIVE_PART: f64 = 0.4;
+const KEEP_ALIVE_FRACTION: f64 = 0.4;
 /// Idle connections are kept open this much longer than the time-out that callers know of.
 const IDLE_SLACK: Millis = Millis(1_000);
 /// The time-out for the head of a request on a connection that is accepted while idle connections
@@ -149,7 +149,7 @@
 /// response: if it closed the connection later, the close could cross with the caller's next
 /// request, and the caller would lose an attempt.
 fn may_keep_connection<E: PlatformAdapter>(gateway: &Gateway<E>) -> bool {
-    let max_kept = gateway.settings.max_sockets as f64 * KEEP_ALIVE_PART;
+    let max_kept = gateway.settings.max_sockets as f64 * KEEP_ALIVE_FRACTION;
     gateway.stage() == DrainStage::Serving
         && !gateway.overload.get().is_full()
         && gateway.open_connections.get() as f64 <= max_kept
