--- a/src/kingcupgrade/transport/gateway/decisions.rs
+++ b/src/kingcupgrade/transport/gateway/decisions.rs
@@ -11,7 +11,7 @@
 use metrics::counter;
 use serde::Serialize;
 
-use super::latency::{self, Judgement, LateAnswerLine, Times};
+use super::latency::{self, Judgement, LateResponseLine, Times};
 use crate::{
     coordination::traffic::Basis,
     core::{Code, Millis, Organisation, UpstreamName},
@@ -85,7 +85,7 @@
     }
 
     /// Records a response in the metrics, and logs it if it was not on time.
-    pub(super) fn answered(&self, times: &Times, line: &LateAnswerLine<'_>) {
+    pub(super) fn answered(&self, times: &Times, line: &LateResponseLine<'_>) {
         latency::record_metrics(times, line.judgement, line.route);
         let mut lines = self.lines.borrow_mut();
         if line.judgement != Judgement::OnTime && *lines < MAX_LINES {
--- a/src/kingcupgrade/transport/gateway/latency.rs
+++ b/src/kingcupgrade/transport/gateway/latency.rs
@@ -82,7 +82,7 @@
 
 /// The fields of the log line for a response that was not on time.
 #[derive(Serialize)]
-pub(super) struct LateAnswerLine<'a> {
+pub(super) struct LateResponseLine<'a> {
     pub(super) request: Option<&'a str>,
     pub(super) judgement: Judgement,
     pub(super) route: &'a str,
--- a/src/kingcupgrade/transport/gateway/pool.rs
+++ b/src/kingcupgrade/transport/gateway/pool.rs
@@ -27,9 +27,9 @@
 /// The time-out for connecting. Within a region connecting takes a few milliseconds. A lost SYN is
 /// retransmitted only after a second, by when another upstream would have answered long ago.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A connection that has been idle for longer is not reused, or for less if the upstream's own
-/// keep-alive time is shorter. Upstreams close idle connections, and if a request crosses with the
-/// close, it is unknown whether it ran.
+/// The maximum time for which a connection may be idle and still be reused; less if the upstream's
+/// own keep-alive time is short. Upstreams close idle connections, and if a request crosses with
+/// the close, it is unknown whether it ran.
 const MAX_IDLE: Duration = Duration::from_millis(4_000);
 /// The fraction of an upstream's stated keep-alive time during which a connection is reused.
 const KEEP_ALIVE_FRACTION: f64 = 0.6;
--- a/src/kingcupgrade/transport/gateway/request/mod.rs
+++ b/src/kingcupgrade/transport/gateway/request/mod.rs
@@ -38,7 +38,7 @@
 const MAX_UNSENT: u32 = 4;
 /// The maximum length in bytes of a response that is not streamed; a longer one is treated as
 /// broken rather than held in memory.
-const MAX_ANSWER_LEN: usize = 16 << 20;
+const MAX_RESPONSE_LEN: usize = 16 << 20;
 /// An idempotent request is sent to another upstream if there is no response within this many times
 /// its target: by then the upstream is more likely to hang than to be working.
 const HANG_TARGETS: u64 = 2;
@@ -210,7 +210,7 @@
         let mut response = first;
         loop {
             let UpstreamResponse { head, body, mut connection, attempt } = response;
-            let reading = connection.drive(Limited::new(body, MAX_ANSWER_LEN).collect());
+            let reading = connection.drive(Limited::new(body, MAX_RESPONSE_LEN).collect());
             let read = timeout_at(self.deadline, reading).await;
             let may_repeat = self.route.kind.is_idempotent();
             match read {
--- a/src/kingcupgrade/transport/gateway/request/reporting.rs
+++ b/src/kingcupgrade/transport/gateway/request/reporting.rs
@@ -9,7 +9,7 @@
     transport::gateway::{
         adapter::PlatformAdapter,
         decisions::{FailureLine, PlacementLine},
-        latency::{LateAnswerLine, Times},
+        latency::{LateResponseLine, Times},
         response::{ResponseBody, error_response},
     },
 };
@@ -43,7 +43,7 @@
         };
         self.gateway.decisions.answered(
             &times,
-            &LateAnswerLine {
+            &LateResponseLine {
                 request: self.request_id.as_deref(),
                 judgement: times.classify(),
                 route: &self.route.name,
--- a/src/kingcupgrade/transport/gateway/serve.rs
+++ b/src/kingcupgrade/transport/gateway/serve.rs
@@ -52,16 +52,16 @@
 const RETRY_AFTER_DRAIN: Millis = Millis(50);
 
 /// Increments a counter for as long as the value lives.
-struct Counted<'a>(&'a std::cell::Cell<usize>);
+struct CountGuard<'a>(&'a std::cell::Cell<usize>);
 
-impl<'a> Counted<'a> {
-    fn new(count: &'a std::cell::Cell<usize>) -> Counted<'a> {
+impl<'a> CountGuard<'a> {
+    fn new(count: &'a std::cell::Cell<usize>) -> CountGuard<'a> {
         count.set(count.get() + 1);
-        Counted(count)
+        CountGuard(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -101,7 +101,7 @@
     // Nagle's algorithm would hold back an event until the previous one is acknowledged. A failure
     // costs latency only.
     let _ = stream.set_nodelay(true);
-    let _counted = Counted::new(&gateway.open_connections);
+    let _count_guard = CountGuard::new(&gateway.open_connections);
     let idle = gateway.traffic.borrow().configuration().map(|c| c.limits.idle_timeout);
     let is_closing = gateway.stage() >= DrainStage::Closing;
     let idle = match is_closing {
@@ -159,7 +159,7 @@
     gateway: Rc<Gateway<E>>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody<E>>, Infallible> {
-    let _counted = Counted::new(&gateway.open_requests);
+    let _count_guard = CountGuard::new(&gateway.open_requests);
     let (head, body) = request.into_parts();
     let decoded = gateway.adapter.decode_request_head(&head);
     let request_id = decoded.request_id.clone();
