--- a/crates/kingcup-load/src/slopes.rs
+++ b/crates/kingcup-load/src/slopes.rs
@@ -24,10 +24,11 @@
         Message, Pool,
         consensus::{LogEntry, Payload},
         dispatch::{
-            DispatchBody, DispatchMessage, Ending, Finished, Grant, GrantId, Session, Waiting,
+            DispatchBody, DispatchMessage, FinishedGrant, Grant, GrantId, GrantOutcome,
+            QueuedRequests, Session,
         },
         frame::Channel,
-        record::{ClaimId, Command as Change, KeptAnswer, RecordMessage, RequestKey, Settlement},
+        record::{ClaimId, Command as Change, RecordMessage, RequestKey, Settlement, StoredAnswer},
     },
     state::record::Record,
 };
@@ -138,7 +139,7 @@
     let mut now = Millis(1_000);
     for (n, entry) in entries.iter().enumerate() {
         let mine = backlogged.iter().skip(n % 4).step_by(4);
-        let waiting = mine.map(|o| Waiting(o.clone(), 1_000_000)).collect();
+        let waiting = mine.map(|o| QueuedRequests(o.clone(), 1_000_000)).collect();
         let body = DispatchBody::Open { session: Session(1, 1), waiting, held: Vec::new() };
         machine.on_message(now, entry, 1, &body, &mut out);
     }
@@ -176,9 +177,9 @@
             seq: *seq,
             received: *received,
             waiting: Vec::new(),
-            finished: vec![Finished {
+            finished: vec![FinishedGrant {
                 id,
-                ending: Ending::Completed,
+                outcome: GrantOutcome::Completed,
                 cost: 300,
                 first_byte_ms: Some(400),
             }],
@@ -231,7 +232,7 @@
     let before = resident();
     let (mut next, mut bytes, mut messages) = (1_u64, 0, 0);
     let mut running = std::collections::VecDeque::new();
-    let mut heard = 0;
+    let mut last_report = 0;
     let mut idle = std::time::Duration::ZERO;
     let mut start = Instant::now();
     let mut measured_from = 0;
@@ -249,7 +250,7 @@
         machine.admit(now, arrival, &document, &mut out);
         let id = GrantId(1, next);
         let grant = Grant { id, organisation, upstream: "engine-01".into(), address: address() };
-        let body = DispatchBody::Grants { session, heard, grants: vec![grant] };
+        let body = DispatchBody::Grants { session, last_report, grants: vec![grant] };
         let message = DispatchMessage { pool: pool(), term: 1, origin: None, body };
         machine.on_message(now, &view, &holder, &message, &mut out);
         running.push_back(next);
@@ -261,7 +262,7 @@
         for output in out.drain(..) {
             let EntryOutput::Send(_, message) = output else { continue };
             if let DispatchBody::Report { seq, .. } = &message.body {
-                heard = *seq;
+                last_report = *seq;
             }
             let pause = Instant::now();
             messages += 1;
@@ -302,7 +303,7 @@
             key: format!("deposit-{n:012}"),
         };
         let id = ClaimId(n as u64, 1);
-        let answer = KeptAnswer {
+        let answer = StoredAnswer {
             status: 200,
             content_type: "application/json".to_owned(),
             body: Some("{\"accepted\":true}".to_owned()),
@@ -359,7 +360,7 @@
         domains: Vec::new(),
         upstreams: Vec::new(),
         orders: Vec::new(),
-        whole: None,
+        configuration: None,
     };
     let mut out = Vec::new();
     let start = Instant::now();
--- a/src/kingcupgrade/transport/callers/response.rs
+++ b/src/kingcupgrade/transport/callers/response.rs
@@ -5,7 +5,7 @@
 use super::relay::content_type;
 use crate::{
     core::{Code, Millis, code::CodedError},
-    protocol::record::KeptAnswer,
+    protocol::record::StoredAnswer,
     transport::http::{self, Request, Responder, ResponseStream, error_body},
 };
 
@@ -30,7 +30,7 @@
 }
 
 /// Responds with the stored response to an earlier request with the same idempotency key.
-pub(super) fn replay(state: ResponseState, kept: &KeptAnswer) {
+pub(super) fn replay(state: ResponseState, kept: &StoredAnswer) {
     let ResponseState::Pending(pending) = state else { return };
     let body = kept.body.clone().unwrap_or_default().into_bytes();
     count(Code::Replayed);
--- a/src/kingcupgrade/transport/control_server.rs
+++ b/src/kingcupgrade/transport/control_server.rs
@@ -150,7 +150,7 @@
                 let change = format!("{change:016x}");
                 self.change(Command::SetDomain { change, domain, out }).await
             }
-            None => refusal(Code::NothingThere, "unknown method or path"),
+            None => refusal(Code::NotFound, "unknown method or path"),
         }
     }
 
@@ -180,10 +180,12 @@
 
     async fn read(&self) -> OperatorResponse {
         match self.fleet.submit(Command::Read, RECORD_TIMEOUT).await {
-            Some(Reply::Whole(Some(stored))) => {
+            Some(Reply::Configuration(Some(stored))) => {
                 json_response(StatusCode::OK, Bytes::copy_from_slice(stored.text.as_bytes()))
             }
-            Some(Reply::Whole(None)) => refusal(Code::NotReady, "there is no configuration yet"),
+            Some(Reply::Configuration(None)) => {
+                refusal(Code::NotReady, "there is no configuration yet")
+            }
             Some(Reply::Refused(err)) => refusal_of(&err),
             _ => refusal(Code::NotLeader, "the record did not respond"),
         }
--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -24,7 +24,7 @@
     core::{Instance, Millis, clock::Clock, fleet::FleetSettings, settings::Role},
     protocol::{
         Message,
-        fleet::{ListingNews, LoadReport, Resident},
+        fleet::{FleetEntry, ListingUpdate, LoadReport},
         record::{Command, Reply},
     },
     state::{
@@ -40,7 +40,7 @@
 const MAX_BATCH: usize = 256;
 /// The pause before a failed disk is opened again.
 const DISK_RETRY: Millis = Millis(400);
-/// The key of a fleet with automatic discovery. Its instances have no shared secret, because none
+/// The key of a fleet with dynamic membership. Its instances have no shared secret, because none
 /// is configured; the frames' authentication codes still detect lost, swapped and altered ones.
 const OPEN_FLEET_KEY: &str = "kingcupgrade-open-fleet";
 
@@ -56,11 +56,11 @@
     /// The configuration or the state of a failure domain has changed.
     View(Arc<View>),
     /// The set of entries in the fleet has changed.
-    Entries(Vec<Resident>),
+    Entries(Vec<FleetEntry>),
     /// Another entry has reported its load.
     Heard(Instance, LoadReport),
     /// Another entry has sent the platform's list of upstreams, or a change of it.
-    Listed(Instance, ListingNews),
+    Listed(Instance, ListingUpdate),
     /// Another entry has requested the platform's list of upstreams.
     ListingWanted(Instance),
 }
@@ -133,7 +133,7 @@
         instance,
         address: (settings.ip, port).into(),
         fleet_key: OPEN_FLEET_KEY.into(),
-        addresses: Arc::new(move |instance| address_book.address_of(instance)),
+        addresses: Arc::new(move |instance| address_book.instance_address(instance)),
         sink: Arc::new(sink),
     }
 }
--- a/src/kingcupgrade/transport/gateway/listing.rs
+++ b/src/kingcupgrade/transport/gateway/listing.rs
@@ -22,7 +22,7 @@
         listing::{KnownListing, ListingDuty, MAX_TOLD_AGE},
     },
     core::{Instance, Millis},
-    protocol::fleet::{ListedUpstream, ListingNews},
+    protocol::fleet::{ListedUpstream, ListingUpdate},
     transport::fleet::unix_ms,
     util::log,
 };
@@ -82,14 +82,14 @@
         let update = known.listing.on_read(&self.settings.instance(), unix_ms(), upstreams);
         drop(known);
         if let Some(age) = read_time {
-            self.fleet.send(FleetInput::ShareListing(ListingNews { age, ..update }, duty));
+            self.fleet.send(FleetInput::ShareListing(ListingUpdate { age, ..update }, duty));
         }
         self.set_listing();
     }
 
     /// Applies an update from another entry; asks that entry for the complete list if the update is
     /// relative to a list that is not known here.
-    pub(super) fn on_listing_update(&self, from: Instance, update: ListingNews) {
+    pub(super) fn on_listing_update(&self, from: Instance, update: ListingUpdate) {
         let age = update.age;
         let mut known = self.listing.borrow_mut();
         if !known.listing.on_news(update) {
@@ -114,7 +114,7 @@
         let known = self.listing.borrow();
         let age = known.age.as_ref().and_then(Age::get).filter(|age| *age < MAX_TOLD_AGE);
         if let (Some(age), Some(complete)) = (age, known.listing.whole()) {
-            self.fleet.send(FleetInput::TellListing(to, ListingNews { age, ..complete }));
+            self.fleet.send(FleetInput::TellListing(to, ListingUpdate { age, ..complete }));
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -55,7 +55,7 @@
         traffic::{RequestNo, Traffic, Verdict},
     },
     core::{Code, Instance, Millis, clock::Clock, fleet::FleetSettings},
-    protocol::fleet::Resident,
+    protocol::fleet::FleetEntry,
     util::log,
 };
 
@@ -198,10 +198,11 @@
             }
             FleetUpdate::Entries(entries) => {
                 let own = &self.settings.failure_domain;
-                let local = entries.iter().filter(|Resident(_, domain)| domain == own);
-                let local: Vec<Instance> = local.map(|Resident(entry, _)| entry.clone()).collect();
+                let local = entries.iter().filter(|FleetEntry(_, domain)| domain == own);
+                let local: Vec<Instance> =
+                    local.map(|FleetEntry(entry, _)| entry.clone()).collect();
                 let all: Vec<Instance> =
-                    entries.into_iter().map(|Resident(entry, _)| entry).collect();
+                    entries.into_iter().map(|FleetEntry(entry, _)| entry).collect();
                 let neighbours = Neighbours { fleet: &all, domain: &local };
                 let duty = neighbours.duty(&self.settings.instance());
                 if self.listing_duty.replace(duty) != duty {
--- a/src/kingcupgrade/transport/gateway/relay.rs
+++ b/src/kingcupgrade/transport/gateway/relay.rs
@@ -157,7 +157,7 @@
             Some(previous) => self.longest_pause = self.longest_pause.max(now - previous),
             None => self.request.on_first_byte(),
         }
-        let gap = self.request.route.max_gap.0 * MAX_SILENT_GAPS;
+        let gap = self.request.route.max_event_gap.0 * MAX_SILENT_GAPS;
         let silence = Duration::from_millis(gap.max(MIN_SILENCE_MS));
         self.silent_until = self.abort_at.min(now + silence);
         Some(events.bytes)
--- a/src/kingcupgrade/transport/gateway/request/mod.rs
+++ b/src/kingcupgrade/transport/gateway/request/mod.rs
@@ -122,7 +122,8 @@
         let request_id = decoded.request_id.as_deref().unwrap_or_default();
         let service = choose_service(&route, request_id).clone();
         let plan = configuration.services.get(&service);
-        let stride = plan.and_then(|plan| plan.engine.as_ref()).map_or(1, |engine| engine.stride);
+        let stride =
+            plan.and_then(|plan| plan.engine.as_ref()).map_or(1, |engine| engine.tokens_per_event);
         let arrived = gateway.now();
         let timeout = decoded.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let mut traffic = gateway.traffic.borrow_mut();
@@ -132,7 +133,7 @@
         };
         traffic.on_request(arrived, &service);
         drop(traffic);
-        let target = route.target.min(timeout);
+        let target = route.target_latency.min(timeout);
         Ok(ProxiedRequest {
             request_id: decoded.request_id,
             method: head.method,
@@ -376,7 +377,7 @@
         if !can_repeat {
             return self.deadline;
         }
-        let span = Millis(self.route.target.0 * HANG_TARGETS).max(MIN_HANG);
+        let span = Millis(self.route.target_latency.0 * HANG_TARGETS).max(MIN_HANG);
         self.deadline.min(Instant::now() + span.as_duration())
     }
 }
@@ -390,15 +391,15 @@
 /// Selects one of a route's services at random by weight, always the same one for the same request
 /// id.
 fn choose_service<'a>(route: &'a Route, request_id: &str) -> &'a Service {
-    let sum: u32 = route.targets.iter().map(|(_, weight)| *weight).sum();
+    let sum: u32 = route.services.iter().map(|(_, weight)| *weight).sum();
     let mut point = crc32fast::hash(request_id.as_bytes()) % sum.max(1);
-    for (service, weight) in &route.targets {
+    for (service, weight) in &route.services {
         if point < *weight {
             return service;
         }
         point -= weight;
     }
-    &route.targets[0].0
+    &route.services[0].0
 }
 
 fn complete_response<E: PlatformAdapter>(
--- a/src/kingcupgrade/transport/mod.rs
+++ b/src/kingcupgrade/transport/mod.rs
@@ -34,7 +34,7 @@
     core::{Code, Millis, UpstreamName},
     protocol::{
         operator::{OperatorReply, OperatorRequest},
-        record::KeptAnswer,
+        record::StoredAnswer,
     },
 };
 
@@ -56,7 +56,7 @@
     /// Stop: the caller has disconnected.
     Disconnected,
     /// Respond with the stored response to an earlier request with the same idempotency key.
-    Replay(KeptAnswer),
+    Replay(StoredAnswer),
     /// Respond with an error.
     GiveUp {
         /// The result code.
