--- a/src/kingcupgrade/coordination/fleet/joining.rs
+++ b/src/kingcupgrade/coordination/fleet/discovery.rs
@@ -1,8 +1,9 @@
-//! Finding the others: an instance says that it is there, and is told who else is.
+//! Discovery: an instance announces itself to the control instances, and they answer with the
+//! roster of the fleet.
 
 use super::{
     FleetNode, FleetOutput,
-    roster::{Joined, Told},
+    roster::{Announcement, RosterUpdate},
 };
 use crate::{
     core::{Instance, Millis},
@@ -12,18 +13,19 @@
     },
 };
 
-/// How often an instance says that it is there.
-const JOIN_INTERVAL: Millis = Millis(1_000);
-/// How often it says so while it knows nobody: at a common start most of the others don't listen
-/// yet.
-const FIRST_JOIN_INTERVAL: Millis = Millis(200);
+/// The interval at which an instance announces itself.
+const ANNOUNCE_INTERVAL: Millis = Millis(1_000);
+/// The same interval while it knows no entry: when a whole fleet starts, most of the others don't
+/// listen yet.
+const FIRST_ANNOUNCE_INTERVAL: Millis = Millis(200);
 
 impl FleetNode {
-    /// Says to all control instances that this instance is there.
-    pub(super) fn join(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<FleetOutput>) {
+    /// Announces this instance to all control instances.
+    pub(super) fn announce(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<FleetOutput>) {
         let started = *self.started.get_or_insert(unix_ms);
-        let is_alone = self.roster.entries().is_empty();
-        self.next_join = now + if is_alone { FIRST_JOIN_INTERVAL } else { JOIN_INTERVAL };
+        let knows_nobody = self.roster.entries().is_empty();
+        self.next_announcement =
+            now + if knows_nobody { FIRST_ANNOUNCE_INTERVAL } else { ANNOUNCE_INTERVAL };
         for control in self.roster.controls() {
             if control == self.instance {
                 continue;
@@ -31,29 +33,31 @@
             let join = FleetMessage::Join {
                 domain: self.settings.failure_domain.clone(),
                 leaving: self.draining,
-                known: self.roster.number_told_by(&control),
+                known: self.roster.number_from(&control),
                 started,
             };
             out.push(FleetOutput::Send(control, Message::Fleet(join)));
         }
     }
 
-    /// Takes in that an instance is there; a control instance tells if it is another process.
-    pub(super) fn on_join(
+    /// Records the announcement of an instance. A control instance reports if it runs in a new
+    /// process.
+    pub(super) fn on_announcement(
         &mut self,
         now: Millis,
         from: &Instance,
-        join: &Joined,
+        announcement: &Announcement,
         out: &mut Vec<FleetOutput>,
     ) {
-        let restarts = self.roster.on_join(now, from, join);
+        let restarts = self.roster.on_announcement(now, from, announcement);
         if let Some(restarts) = restarts.filter(|_| self.control.is_some()) {
             out.push(FleetOutput::Restarted { instance: from.clone(), restarts });
         }
     }
 
-    /// Tells who is there, to an instance that knows the roster of a number.
-    pub(super) fn answer_join(
+    /// Answers an announcement with the roster, or with its number alone if the instance knows it
+    /// already.
+    pub(super) fn answer_announcement(
         &mut self,
         unix_ms: u64,
         from: &Instance,
@@ -68,27 +72,31 @@
         controls.push(self.instance.clone());
         controls.sort();
         controls.dedup();
-        let told = self.roster.tell(unix_ms, controls);
-        let answer = match told.number == known {
+        let update = self.roster.next_update(unix_ms, controls);
+        let answer = match update.number == known {
             true => FleetMessage::RosterUnchanged(known),
             false => {
-                let Told { number, entries, controls } = told.clone();
+                let RosterUpdate { number, entries, controls } = update.clone();
                 FleetMessage::Roster { number, entries, controls }
             }
         };
         out.push(FleetOutput::Send(from.clone(), Message::Fleet(answer)));
     }
 
-    pub(super) fn tell_entries(&mut self, out: &mut Vec<FleetOutput>) {
+    pub(super) fn publish_entries(&mut self, out: &mut Vec<FleetOutput>) {
         let digest = self.roster.digest();
-        if digest == self.told_digest {
+        if digest == self.published_digest {
             return;
         }
-        self.told_digest = digest;
+        self.published_digest = digest;
         let controls = self.roster.controls();
         self.client.set_instances(controls, self.neighbours());
-        let residents = self.roster.entries();
-        self.totals.set_residents(&self.instance, &self.settings.failure_domain, &residents);
+        let fleet_entries = self.roster.entries();
+        self.load_exchange.set_entries(
+            &self.instance,
+            &self.settings.failure_domain,
+            &fleet_entries,
+        );
         out.push(FleetOutput::Entries(self.roster.entries()));
     }
 
--- /dev/null
+++ b/src/kingcupgrade/coordination/fleet/load_exchange.rs
@@ -0,0 +1,326 @@
+//! Exchange of load reports, without each entry sending to every other one.
+//!
+//! In a small fleet each entry sends its report to all others. The number of messages then grows
+//! with the square of the fleet: with some dozens of entries, a small processor does nothing else.
+//! In a larger fleet the entries of a failure domain send to two of them, the collectors.
+//! Collectors add up the reports, exchange the sums of their failure domains, and send the total to
+//! the entries of their own. Each entry subtracts its own report from it.
+//!
+//! Both collectors send the same, so one may be lost without a gap. The last message that arrives
+//! replaces earlier ones.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use crate::{
+    core::{FailureDomain, Instance, Millis, Organisation, UpstreamName},
+    protocol::{
+        Message,
+        fleet::{CachedParts, FleetEntry, FleetLoad, FleetMessage, Load, LoadReport},
+    },
+    util::rendezvous,
+};
+
+/// Up to this size of a fleet each entry sends to all others: some hundred messages per second.
+const MAX_MESH_ENTRIES: usize = 16;
+/// The number of collectors in a failure domain.
+const COLLECTORS: usize = 2;
+/// The key of the rendezvous hash that selects the collectors.
+const RANKING_KEY: &str = "collector";
+/// The interval at which an entry sends its report. A shorter one costs processor time in every
+/// entry; with a longer one entries send requests to the same upstream without knowing of each
+/// other.
+const MESH_INTERVAL: Millis = Millis(100);
+/// The minimum of the same interval with collectors: each of the two collectors sends at this
+/// interval, so totals arrive twice as often.
+const MIN_COLLECTOR_INTERVAL: Millis = Millis(200);
+/// The interval per entry of the fleet, so that a collector receives and sends a few hundred
+/// messages per second at most.
+const INTERVAL_PER_ENTRY: Millis = Millis(2);
+/// The minimum time for which a report or a sum is valid: one or two may be lost.
+const MIN_REPORT_TTL: Millis = Millis(1_500);
+/// The minimum number of intervals for which a report or a sum is valid.
+const MIN_REPORT_TTL_INTERVALS: u64 = 4;
+/// The number of own reports that are remembered, to be subtracted from totals: more than are sent
+/// while a total is on its way.
+const MAX_OWN_REPORTS: usize = 32;
+/// The name under which the total of all other entries is delivered, in place of the sender of a
+/// report.
+const TOTAL_SENDER: &str = "total";
+
+/// Returns the interval at which an entry sends its report in a fleet of `entries`.
+pub fn share_interval(entries: usize) -> Millis {
+    if entries <= MAX_MESH_ENTRIES {
+        return MESH_INTERVAL;
+    }
+    MIN_COLLECTOR_INTERVAL.max(Millis(INTERVAL_PER_ENTRY.0 * entries as u64))
+}
+
+/// Returns the approximate age of what an entry knows of the others in a fleet of `entries`: a
+/// report is half an interval old on average where each entry sends to all, and with collectors it
+/// also waits at two of them.
+pub fn report_age(entries: usize) -> Millis {
+    let interval = share_interval(entries).0;
+    if entries <= MAX_MESH_ENTRIES { Millis(interval / 2) } else { Millis(interval * 3 / 2) }
+}
+
+/// Returns how long a report is valid in a fleet of `entries`.
+pub fn report_ttl(entries: usize) -> Millis {
+    MIN_REPORT_TTL.max(Millis(share_interval(entries).0 * MIN_REPORT_TTL_INTERVALS))
+}
+
+/// The entries that this entry sends to, derived from the roster.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+struct Topology {
+    /// The number of entries in the fleet.
+    entries: usize,
+    /// The entries that this entry sends its reports to.
+    receivers: Vec<Instance>,
+    /// The other entries of this failure domain, if this entry is a collector.
+    members: Option<Vec<Instance>>,
+    /// The collectors of the other failure domains.
+    remote_collectors: Vec<Instance>,
+}
+
+impl Topology {
+    fn new(own: &Instance, own_domain: &FailureDomain, fleet_entries: &[FleetEntry]) -> Topology {
+        let others = fleet_entries.iter().filter(|FleetEntry(entry, _)| entry != own);
+        if fleet_entries.len() <= MAX_MESH_ENTRIES {
+            let receivers = others.map(|FleetEntry(entry, _)| entry.clone()).collect();
+            return Topology { entries: fleet_entries.len(), receivers, ..Topology::default() };
+        }
+        let mut domains: BTreeMap<&FailureDomain, Vec<Instance>> = BTreeMap::new();
+        domains.entry(own_domain).or_default().push(own.clone());
+        for FleetEntry(entry, domain) in others {
+            domains.entry(domain).or_default().push(entry.clone());
+        }
+        let collectors = |entries: &[Instance]| {
+            let mut ranked = rendezvous::ranking(RANKING_KEY, entries.iter().cloned());
+            ranked.truncate(COLLECTORS);
+            ranked
+        };
+        let local_entries = domains.remove(own_domain).unwrap_or_default();
+        let local_collectors = collectors(&local_entries);
+        let members: Vec<Instance> =
+            local_entries.into_iter().filter(|entry| entry != own).collect();
+        Topology {
+            entries: fleet_entries.len(),
+            members: local_collectors.contains(own).then_some(members),
+            receivers: local_collectors.into_iter().filter(|entry| entry != own).collect(),
+            remote_collectors: domains.values().flat_map(|entries| collectors(entries)).collect(),
+        }
+    }
+
+    fn is_mesh(&self) -> bool {
+        self.entries <= MAX_MESH_ENTRIES
+    }
+}
+
+/// An action for the node to carry out.
+#[derive(Debug)]
+pub(super) enum LoadExchangeOutput {
+    /// Send a message to several entries.
+    SendToAll(Vec<Instance>, Message),
+    /// Other entries have this load under way.
+    LoadReceived(Instance, LoadReport),
+}
+
+/// The reports and sums known to one entry.
+#[derive(Debug, Default)]
+pub(super) struct LoadExchange {
+    topology: Topology,
+    own: VecDeque<LoadReport>,
+    next_number: u32,
+    /// The reports of the other entries of this failure domain, if this entry is a collector.
+    members: BTreeMap<Instance, (Millis, LoadReport)>,
+    /// The sums of the other failure domains.
+    domains: BTreeMap<FailureDomain, (Millis, LoadReport)>,
+    /// Cached prompt parts that entries of this failure domain announced, not passed on yet.
+    local_cached_parts: Vec<CachedParts>,
+    /// The same that collectors of other failure domains announced.
+    remote_cached_parts: Vec<CachedParts>,
+}
+
+impl LoadExchange {
+    /// Updates the topology from the entries of the fleet.
+    pub(super) fn set_entries(
+        &mut self,
+        own: &Instance,
+        domain: &FailureDomain,
+        fleet_entries: &[FleetEntry],
+    ) {
+        self.topology = Topology::new(own, domain, fleet_entries);
+    }
+
+    /// Sends this entry's report, and the sums if it is a collector.
+    pub(super) fn share(
+        &mut self,
+        now: Millis,
+        own: &Instance,
+        domain: &FailureDomain,
+        mut report: LoadReport,
+        out: &mut Vec<LoadExchangeOutput>,
+    ) {
+        report.number = self.next_number;
+        self.next_number = self.next_number.wrapping_add(1);
+        let message = Message::Fleet(FleetMessage::Load(report.clone()));
+        out.push(LoadExchangeOutput::SendToAll(self.topology.receivers.clone(), message));
+        if self.topology.is_mesh() {
+            return;
+        }
+        if self.topology.members.is_some() {
+            add_announcements(&mut self.local_cached_parts, &mut report.kept);
+        }
+        self.own.push_back(report);
+        if self.own.len() > MAX_OWN_REPORTS {
+            self.own.pop_front();
+        }
+        if let Some(members) = self.topology.members.clone() {
+            self.send_sums(now, own, domain, members, out);
+        }
+    }
+
+    fn send_sums(
+        &mut self,
+        now: Millis,
+        own: &Instance,
+        domain: &FailureDomain,
+        members: Vec<Instance>,
+        out: &mut Vec<LoadExchangeOutput>,
+    ) {
+        let ttl = report_ttl(self.topology.entries);
+        self.members.retain(|_, (at, _)| now.since(*at) <= ttl);
+        self.domains.retain(|_, (at, _)| now.since(*at) <= ttl);
+        let mut sum = Sum::default();
+        let mut parts = Vec::new();
+        for (member, (_, report)) in &self.members {
+            sum.add(report, 1);
+            parts.push((member.clone(), report.number));
+        }
+        if let Some(report) = self.own.back() {
+            sum.add(report, 1);
+            parts.push((own.clone(), report.number));
+        }
+        let local_parts = std::mem::take(&mut self.local_cached_parts);
+        let domain_sum = LoadReport { kept: local_parts.clone(), ..sum.to_report() };
+        let message = FleetMessage::DomainLoad(domain.clone(), domain_sum);
+        out.push(LoadExchangeOutput::SendToAll(
+            self.topology.remote_collectors.clone(),
+            Message::Fleet(message),
+        ));
+        for (_, report) in self.domains.values() {
+            sum.add(report, 1);
+        }
+        let mut kept = std::mem::take(&mut self.remote_cached_parts);
+        kept.extend(local_parts);
+        let total = FleetLoad { report: LoadReport { kept, ..sum.to_report() }, parts };
+        out.extend(self.on_total(own, &total));
+        out.push(LoadExchangeOutput::SendToAll(
+            members,
+            Message::Fleet(FleetMessage::Total(total)),
+        ));
+    }
+
+    /// Handles another entry's report.
+    pub(super) fn on_load(
+        &mut self,
+        now: Millis,
+        from: &Instance,
+        mut report: LoadReport,
+    ) -> Option<LoadExchangeOutput> {
+        if self.topology.is_mesh() {
+            return Some(LoadExchangeOutput::LoadReceived(from.clone(), report));
+        }
+        if self.topology.members.is_some() {
+            add_announcements(&mut self.local_cached_parts, &mut report.kept);
+        }
+        self.members.insert(from.clone(), (now, report));
+        None
+    }
+
+    /// Handles the sum of another failure domain.
+    pub(super) fn on_domain_sum(
+        &mut self,
+        now: Millis,
+        domain: FailureDomain,
+        mut sum: LoadReport,
+    ) {
+        if self.topology.members.is_some() {
+            add_announcements(&mut self.remote_cached_parts, &mut sum.kept);
+        }
+        self.domains.insert(domain, (now, sum));
+    }
+
+    /// Handles the total of the fleet, and subtracts this entry's report from it.
+    pub(super) fn on_total(&self, own: &Instance, total: &FleetLoad) -> Option<LoadExchangeOutput> {
+        let mut sum = Sum::default();
+        sum.add(&total.report, 1);
+        let number = total.parts.iter().find(|(entry, _)| entry == own).map(|(_, number)| *number);
+        let part = number.and_then(|n| self.own.iter().find(|report| report.number == n));
+        if let Some(report) = part {
+            sum.add(report, -1);
+        }
+        let report = LoadReport { kept: total.report.kept.clone(), ..sum.to_report() };
+        Some(LoadExchangeOutput::LoadReceived(Instance::from(TOTAL_SENDER), report))
+    }
+}
+
+/// Adds announcements of cached parts, once where both collectors of a failure domain send the
+/// same.
+fn add_announcements(known: &mut Vec<CachedParts>, announced: &mut Vec<CachedParts>) {
+    let announced = std::mem::take(announced).into_iter();
+    for parts in announced {
+        if !known.contains(&parts) {
+            known.push(parts);
+        }
+    }
+}
+
+/// A sum of reports.
+#[derive(Debug, Default)]
+struct Sum {
+    loads: BTreeMap<UpstreamName, [i64; 3]>,
+    served: BTreeMap<Organisation, f64>,
+    asked: BTreeMap<Organisation, f64>,
+    refused: BTreeMap<Organisation, f64>,
+}
+
+impl Sum {
+    /// Adds a report multiplied by `sign`, which is 1 or -1.
+    fn add(&mut self, report: &LoadReport, sign: i64) {
+        for (name, load) in &report.loads {
+            let amounts = [i64::from(load.running), load.unread as i64, load.memory as i64];
+            let sums = self.loads.entry(name.clone()).or_default();
+            sums.iter_mut().zip(amounts).for_each(|(sum, amount)| *sum += sign * amount);
+        }
+        let all = [
+            (&mut self.served, &report.served),
+            (&mut self.asked, &report.asked),
+            (&mut self.refused, &report.refused),
+        ];
+        for (sums, reported) in all {
+            for (organisation, tokens) in reported {
+                *sums.entry(organisation.clone()).or_default() += sign as f64 * f64::from(*tokens);
+            }
+        }
+    }
+
+    fn to_report(&self) -> LoadReport {
+        let loads = self.loads.iter().filter(|(_, sums)| **sums != [0; 3]);
+        let loads = loads.map(|(name, sums)| {
+            let [running, unread, memory] = sums.map(|sum| sum.max(0) as u64);
+            (name.clone(), Load { running: running as u32, unread, memory })
+        });
+        let tokens = |sums: &BTreeMap<Organisation, f64>| {
+            let sums = sums.iter().filter(|(_, tokens)| **tokens >= 1.0);
+            sums.map(|(organisation, tokens)| (organisation.clone(), *tokens as f32)).collect()
+        };
+        LoadReport {
+            number: 0,
+            loads: loads.collect(),
+            served: tokens(&self.served),
+            asked: tokens(&self.asked),
+            kept: Vec::new(),
+            refused: tokens(&self.refused),
+        }
+    }
+}
--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -230,7 +230,7 @@
                 let ticket = self.next_ticket;
                 self.next_ticket += 1;
                 self.operators.insert(ticket, tx);
-                FleetInput::Asked(ticket, command, timeout)
+                FleetInput::Command(ticket, command, timeout)
             }
         };
         self.node.handle(self.clock.now(), unix_ms(), input, out);
@@ -312,15 +312,19 @@
                 log::event("entries", &entries.len());
                 (self.sink)(FleetUpdate::Entries(entries));
             }
-            FleetOutput::Heard(from, report) => (self.sink)(FleetUpdate::Heard(from, report)),
-            FleetOutput::Listed(from, update) => (self.sink)(FleetUpdate::Listed(from, update)),
-            FleetOutput::ListingWanted(from) => (self.sink)(FleetUpdate::ListingWanted(from)),
+            FleetOutput::LoadReceived(from, report) => {
+                (self.sink)(FleetUpdate::Heard(from, report))
+            }
+            FleetOutput::ListingReceived(from, update) => {
+                (self.sink)(FleetUpdate::Listed(from, update))
+            }
+            FleetOutput::ListingRequested(from) => (self.sink)(FleetUpdate::ListingWanted(from)),
             FleetOutput::SourceChanged(source) => log::event("configuration-source", &source),
             FleetOutput::Restarted { instance, restarts } => {
                 counter!("kingcup_restarts_seen").increment(1);
                 log::event("instance-restarted", &(instance, restarts));
             }
-            FleetOutput::StandingChanged(standing) => log::event("record-standing", &standing),
+            FleetOutput::RecordStatusChanged(status) => log::event("record-standing", &status),
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/listing.rs
+++ b/src/kingcupgrade/transport/gateway/listing.rs
@@ -19,7 +19,7 @@
 use crate::{
     coordination::{
         fleet::FleetInput,
-        listing::{KnownListing, ListingDuty, MAX_TOLD_AGE},
+        listing::{KnownListing, ListingDuty, MAX_SHARED_AGE},
     },
     core::{Instance, Millis},
     protocol::fleet::{ListedUpstream, ListingUpdate},
@@ -92,13 +92,13 @@
     pub(super) fn on_listing_update(&self, from: Instance, update: ListingUpdate) {
         let age = update.age;
         let mut known = self.listing.borrow_mut();
-        if !known.listing.on_news(update) {
-            self.fleet.send(FleetInput::WantListing(Some(from)));
+        if !known.listing.on_change(update) {
+            self.fleet.send(FleetInput::RequestListing(Some(from)));
             return;
         }
         known.age = Some(Age { initial: age, ..Age::start() });
         drop(known);
-        self.listing_plan.borrow_mut().on_heard(self.now(), age);
+        self.listing_plan.borrow_mut().on_received(self.now(), age);
         self.set_listing();
     }
 
@@ -112,9 +112,9 @@
     /// Sends the known list to an entry that asked for it, if it is recent enough.
     pub(super) fn send_listing(&self, to: Instance) {
         let known = self.listing.borrow();
-        let age = known.age.as_ref().and_then(Age::get).filter(|age| *age < MAX_TOLD_AGE);
-        if let (Some(age), Some(complete)) = (age, known.listing.whole()) {
-            self.fleet.send(FleetInput::TellListing(to, ListingUpdate { age, ..complete }));
+        let age = known.age.as_ref().and_then(Age::get).filter(|age| *age < MAX_SHARED_AGE);
+        if let (Some(age), Some(complete)) = (age, known.listing.full_list()) {
+            self.fleet.send(FleetInput::SendListing(to, ListingUpdate { age, ..complete }));
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -132,8 +132,8 @@
         gauge!("kingcup_open_requests").set(self.open_requests.get() as f64);
         gauge!("kingcup_open_connections").set(self.open_connections.get() as f64);
         gauge!("kingcup_waiting_requests").set(traffic.waiting() as f64);
-        gauge!("kingcup_refused_part").set(self.overload.get().part());
-        gauge!("kingcup_turn_wait_ms").set(self.overload.get().turn_wait().0 as f64);
+        gauge!("kingcup_refused_part").set(self.overload.get().refused_fraction());
+        gauge!("kingcup_turn_wait_ms").set(self.overload.get().scheduling_delay().0 as f64);
         gauge!("kingcup_entries").set(traffic.entry_count() as f64);
         let listing_age = self.listing_plan.borrow().age(now);
         gauge!("kingcup_listing_age_ms").set(listing_age.0 as f64);
@@ -210,7 +210,7 @@
                 }
                 self.traffic.borrow_mut().set_entries(all);
                 if !self.listing_plan.borrow().is_known() {
-                    self.fleet.send(FleetInput::WantListing(None));
+                    self.fleet.send(FleetInput::RequestListing(None));
                 }
             }
             FleetUpdate::Listed(from, update) => self.on_listing_update(from, update),
@@ -324,9 +324,9 @@
                 let mut traffic = gateway.traffic.borrow_mut();
                 traffic.expire_reports(now);
                 next_share = now + share_interval(traffic.entry_count());
-                traffic.tell(now)
+                traffic.take_report(now)
             };
-            gateway.fleet.send(FleetInput::Share(report));
+            gateway.fleet.send(FleetInput::ShareLoad(report));
         }
         if now >= next_sweep {
             next_sweep = now + SWEEP;
--- a/tests/testsuite/traffic.rs
+++ b/tests/testsuite/traffic.rs
@@ -44,7 +44,7 @@
     Demand {
         service: Service::from("plain"),
         prompt: Vec::new().into(),
-        output: 0,
+        expected_output: 0,
         ..demand(no, now, organisation, 1, 1)
     }
 }
@@ -156,7 +156,7 @@
         let now = Millis(no * 5);
         match traffic.admit(now, demand(no, now, "flood", 5, 4_000)) {
             Some(Verdict::Start(_)) => finish(&mut traffic, now, no),
-            _ => traffic.forget(no),
+            _ => traffic.cancel_waiting(no),
         }
     }
     // A second one asks as well, so that the first is beyond what the least served one gets.
@@ -217,7 +217,7 @@
                     finish(&mut traffic, now, no);
                     sent += 1;
                 }
-                _ => traffic.forget(no),
+                _ => traffic.cancel_waiting(no),
             }
         }
     }
@@ -232,8 +232,8 @@
     for _ in 0..20 {
         health.on_failure(Millis(100), 0.0);
     }
-    assert!(health.is_aside(Millis(100)));
-    assert!(!health.is_aside(Millis(10_000)), "nobody would try it again");
+    assert!(health.is_ejected(Millis(100)));
+    assert!(!health.is_ejected(Millis(10_000)), "nobody would try it again");
 
     let mut all_fail = traffic(1e9, 3);
     let mut no = 0;
@@ -259,7 +259,7 @@
         } else {
             health.on_answer();
         }
-        assert!(!health.is_aside(Millis(no + 1)));
+        assert!(!health.is_ejected(Millis(no + 1)));
     }
 }
 
@@ -277,7 +277,7 @@
         budget.on_request(now, allowance);
         requests.push(now);
         for _ in 0..3 {
-            if budget.try_repeat(now, allowance, ENTRIES) {
+            if budget.try_retry(now, allowance, ENTRIES) {
                 repeats.push(now);
             }
         }
@@ -297,10 +297,10 @@
 #[test]
 fn unread_prompts_shrink_with_time() {
     let mut backlog = Backlog::default();
-    backlog.read(Millis(0), 100.0);
+    backlog.advance(Millis(0), 100.0);
     backlog.push(1, 50_000);
     backlog.push(2, 10_000);
-    backlog.read(Millis(400), 100.0);
+    backlog.advance(Millis(400), 100.0);
     assert_eq!(backlog.tokens(), 20_000);
     backlog.on_first_event(1);
     assert_eq!(backlog.tokens(), 10_000);
