--- a/src/kingcupgrade/coordination/consensus/election.rs
+++ b/src/kingcupgrade/coordination/consensus/election.rs
@@ -1,4 +1,4 @@
-//! Elections: who may lead.
+//! Leader election with a pre-vote phase.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 };
 
 impl Consensus {
-    pub(super) fn put_off_election(&mut self, now: Millis) {
+    pub(super) fn reset_election_timer(&mut self, now: Millis) {
         let (min, spread) = match self.heard_leader {
             Some(_) => (ELECTION_MIN, ELECTION_SPREAD),
             None => (FIRST_ELECTION_MIN, FIRST_ELECTION_SPREAD),
@@ -22,7 +22,7 @@
         self.election_at = now + min + Millis(random);
     }
 
-    /// Enters a newer term as a follower.
+    /// Enters a newer term as a follower, with the vote already cast in it, if any.
     pub(super) fn enter_term(
         &mut self,
         now: Millis,
@@ -37,22 +37,23 @@
 
     pub(super) fn step_down(&mut self, now: Millis) {
         self.role = Role::Follower { leader: None };
-        self.put_off_election(now);
+        self.reset_election_timer(now);
     }
 
-    pub(super) fn follow(&mut self, now: Millis, leader: &ReplicaId) {
+    pub(super) fn follow_leader(&mut self, now: Millis, leader: &ReplicaId) {
         self.role = Role::Follower { leader: Some(leader.clone()) };
         self.heard_leader = Some(now);
-        self.put_off_election(now);
+        self.reset_election_timer(now);
     }
 
-    /// Asks the other voters for their votes, or with `pre` whether they would give them.
-    pub(super) fn ask_for_votes(&mut self, now: Millis, pre: bool, out: &mut Vec<ConsensusOutput>) {
+    /// Requests votes from the other voters. With `pre`, runs a pre-vote, which asks whether they
+    /// would grant a vote and leaves the term unchanged.
+    pub(super) fn request_votes(&mut self, now: Millis, pre: bool, out: &mut Vec<ConsensusOutput>) {
         if !pre {
             let own = Some(self.id.clone());
             self.enter_term(now, self.term() + 1, own, out);
         }
-        self.put_off_election(now);
+        self.reset_election_timer(now);
         self.role = Role::Candidate { pre, votes: BTreeSet::from([self.id.clone()]) };
         let last = self.log.last();
         for peer in self.other_voters() {
@@ -70,8 +71,8 @@
         last: Position,
         out: &mut Vec<ConsensusOutput>,
     ) {
-        // A replica that hears its leader neither votes nor lets its term be raised. Otherwise a
-        // member that was removed, or hears nobody, would depose a leader that works.
+        // A replica in contact with a leader neither votes nor raises its term. Otherwise a member
+        // that was removed, or that receives no messages, would depose a working leader.
         let has_leader = self.is_leader()
             || self.heard_leader.is_some_and(|heard| now.since(heard) < ELECTION_MIN);
         let wanted_term = if pre { term + 1 } else { term };
@@ -85,7 +86,7 @@
         } else if granted && !pre {
             self.hard_state.vote = Some(from.clone());
             out.push(ConsensusOutput::Persist(Persist::HardState(self.hard_state.clone())));
-            self.put_off_election(now);
+            self.reset_election_timer(now);
         }
         self.send(from, ConsensusBody::VoteReply { pre, granted }, out);
     }
@@ -112,7 +113,7 @@
         let is_candidate = |asks: &bool| *asks == pre;
         match &mut self.role {
             Role::Candidate { pre: asks, votes } if is_candidate(asks) && granted => {
-                // A vote counts for the term it was asked in only.
+                // A vote counts only in the term in which it was requested.
                 if !pre && term != self.hard_state.term {
                     return;
                 }
@@ -132,16 +133,16 @@
             return;
         }
         if pre {
-            self.ask_for_votes(now, false, out);
+            self.request_votes(now, false, out);
         } else {
-            self.lead(now, out);
+            self.become_leader(now, out);
         }
     }
 
-    fn lead(&mut self, now: Millis, out: &mut Vec<ConsensusOutput>) {
+    fn become_leader(&mut self, now: Millis, out: &mut Vec<ConsensusOutput>) {
         self.heard_leader = Some(now);
-        let since = self.log.last().index + 1;
-        self.role = Role::Leader { progress: BTreeMap::new(), since };
+        let first_index = self.log.last().index + 1;
+        self.role = Role::Leader { progress: BTreeMap::new(), first_index };
         self.next_heartbeat = now;
         self.append(now, 0, Payload::Noop, out);
         self.flush(now, out);
--- a/src/kingcupgrade/coordination/consensus/members.rs
+++ b/src/kingcupgrade/coordination/consensus/members.rs
@@ -1,4 +1,4 @@
-//! Members: who votes, who catches up, and who may be added or removed.
+//! Membership: voters, learners that catch up, and the changes that add or remove them.
 
 use super::{Consensus, ConsensusOutput, ELECTION_MIN, Role, replication::Progress};
 use crate::{
@@ -6,11 +6,11 @@
     protocol::consensus::{ConsensusBody, Member, Payload, ReplicaId},
 };
 
-/// A learner that lacks at most this many entries may vote.
-pub(super) const CAUGHT_UP: u64 = 16;
-/// How often a replica outside the record makes itself known.
+/// The number of entries that a learner may lack and still be promoted to a voter.
+pub(super) const CAUGHT_UP_LAG: u64 = 16;
+/// The interval at which a replica outside the record announces itself.
 const HELLO_INTERVAL: Millis = Millis(1_000);
-/// A replica outside the record counts as present for this long after its last sign.
+/// A replica outside the record can be added for this long after its last hello.
 const HELLO_TTL: Millis = Millis(10_000);
 
 impl Consensus {
@@ -27,7 +27,7 @@
         self.members().iter().any(|member| member.voter && member.id == self.id)
     }
 
-    /// Keeps a leader's progress in step with the members; a new one counts as heard now.
+    /// Tracks the replication progress of the current members; a new one counts as heard at `now`.
     pub(super) fn track_members(&mut self, now: Millis) {
         let next = self.log.last().index;
         let own = self.id.clone();
@@ -47,9 +47,9 @@
         }
     }
 
-    /// Proposes to add a replica that has made itself known, first without a vote.
+    /// Proposes to add a replica that has announced itself, as a learner at first.
     ///
-    /// Asked again after a lost answer, it is accepted again and changes nothing.
+    /// A request repeated after a lost reply is accepted and changes nothing.
     ///
     /// # Errors
     ///
@@ -63,16 +63,16 @@
     ) -> Result<u64, CodedError> {
         self.check_change()?;
         if self.is_added(now, instance) {
-            // The answer to the first request was lost; the members stay as they are.
+            // The reply to the first request was lost; the members stay the same.
             let members = self.members().to_vec();
             return self.propose(now, unix_ms, Payload::Members(members), out);
         }
-        let present =
+        let is_present =
             |(id, seen): &(&ReplicaId, Millis)| id.0 == *instance && now.since(*seen) <= HELLO_TTL;
-        let found = self.addable().filter(present).max_by_key(|(_, seen)| *seen);
+        let found = self.addable().filter(is_present).max_by_key(|(_, seen)| *seen);
         let Some((id, _)) = found else {
             return Err(refused(format!(
-                "{instance} has not made itself known: start it with an empty data folder first"
+                "{instance} has not announced itself; start it with an empty data folder first"
             )));
         };
         let mut members = self.members().to_vec();
@@ -80,10 +80,10 @@
         self.propose(now, unix_ms, Payload::Members(members), out)
     }
 
-    /// Tells whether the newest replica that an instance made known is a member already.
+    /// Returns whether the replica that an instance announced last is already a member.
     fn is_added(&self, now: Millis, instance: &Instance) -> bool {
-        let of_instance = self.blanks.iter().filter(|(id, _)| id.0 == *instance);
-        let newest = of_instance.max_by_key(|(_, seen)| **seen);
+        let from_instance = self.announced.iter().filter(|(id, _)| id.0 == *instance);
+        let newest = from_instance.max_by_key(|(_, seen)| **seen);
         newest.is_some_and(|(id, seen)| {
             now.since(*seen) <= HELLO_TTL && self.members().iter().any(|m| m.id == *id)
         })
@@ -91,7 +91,7 @@
 
     /// Proposes to remove a replica.
     ///
-    /// Asked again after a lost answer, it is accepted again and changes nothing.
+    /// A request repeated after a lost reply is accepted and changes nothing.
     ///
     /// # Errors
     ///
@@ -105,18 +105,18 @@
         out: &mut Vec<ConsensusOutput>,
     ) -> Result<u64, CodedError> {
         self.check_change()?;
-        let is_meant = |id: &ReplicaId| id.0 == *instance && replica.is_none_or(|r| r == id.1);
-        let meant: Vec<&Member> = self.members().iter().filter(|m| is_meant(&m.id)).collect();
-        let id = match meant.as_slice() {
-            [] if self.was_member(is_meant) => {
+        let is_target = |id: &ReplicaId| id.0 == *instance && replica.is_none_or(|r| r == id.1);
+        let targets: Vec<&Member> = self.members().iter().filter(|m| is_target(&m.id)).collect();
+        let id = match targets.as_slice() {
+            [] if self.was_member(is_target) => {
                 let members = self.members().to_vec();
                 return self.propose(now, unix_ms, Payload::Members(members), out);
             }
-            [] => return Err(refused(format!("{instance} is no member"))),
+            [] => return Err(refused(format!("{instance} is not a member"))),
             [member] => member.id.clone(),
             _ => {
                 return Err(refused(format!(
-                    "{instance} is a member twice; name it as {instance}#NUMBER"
+                    "{instance} has several replicas; specify one as {instance}#NUMBER"
                 )));
             }
         };
@@ -129,35 +129,36 @@
         self.propose(now, unix_ms, Payload::Members(members), out)
     }
 
-    /// Tells whether the log still shows a member like this from before.
-    fn was_member(&self, is_meant: impl Fn(&ReplicaId) -> bool) -> bool {
-        let held = |members: &[Member]| members.iter().any(|member| is_meant(&member.id));
+    /// Returns whether the snapshot or the log contains a former member that matches.
+    fn was_member(&self, is_target: impl Fn(&ReplicaId) -> bool) -> bool {
+        let contains = |members: &[Member]| members.iter().any(|member| is_target(&member.id));
         let snapshot = self.log.snapshot();
         let mut entries =
             (snapshot.position.index + 1..=self.log.last().index).filter_map(|i| self.log.entry(i));
-        held(&snapshot.members)
-            || entries.any(|entry| matches!(&entry.payload, Payload::Members(m) if held(m)))
+        contains(&snapshot.members)
+            || entries.any(|entry| matches!(&entry.payload, Payload::Members(m) if contains(m)))
     }
 
-    /// Checks that no other change of members is under way, and that this leader knows all of them.
+    /// Checks that no other membership change is in progress, and that this leader has committed an
+    /// entry of its own term and so knows all earlier changes.
     pub(super) fn check_change(&self) -> Result<(), CodedError> {
-        let Role::Leader { since, .. } = &self.role else {
+        let Role::Leader { first_index, .. } = &self.role else {
             return Err(CodedError::new(Code::NotLeader, "this instance does not lead the record"));
         };
         let (_, set_at) = self.log.members();
-        if self.commit < *since || set_at > self.commit {
-            return Err(refused("another change is under way; try again in a moment".to_owned()));
+        if self.commit < *first_index || set_at > self.commit {
+            return Err(refused("another change is in progress; try again in a moment".to_owned()));
         }
         Ok(())
     }
 
-    /// Checks that enough of the voters in `members` can be heard now to go on.
+    /// Checks that a majority of the voters in `members` is reachable.
     pub(super) fn check_majority(&self, now: Millis, members: &[Member]) -> Result<(), CodedError> {
         let voters = members.iter().filter(|member| member.voter).count();
         let heard = self.heard_voters(now, members);
         if heard < voters / 2 + 1 {
             return Err(refused(format!(
-                "only {heard} of the {voters} voters that would remain can be heard"
+                "only {heard} of the {voters} voters that would remain are reachable"
             )));
         }
         Ok(())
@@ -166,39 +167,40 @@
     fn heard_voters(&self, now: Millis, members: &[Member]) -> usize {
         let Role::Leader { progress, .. } = &self.role else { return 0 };
         let is_heard = |id: &ReplicaId| {
-            // A new leader has heard nobody yet. One that took the lost voter for heard would give
-            // a newcomer its vote beside it.
-            let is_near = |p: &Progress| {
+            // A new leader has not heard any other voter yet, though `acked` is already set. If it
+            // counted a lost voter as heard, it would promote a new voter beside it.
+            let is_recent = |p: &Progress| {
                 p.has_answered
                     && now.since(p.acked) < ELECTION_MIN
                     && !self.is_replaced(id, p.acked)
             };
-            *id == self.id || progress.get(id).is_some_and(is_near)
+            *id == self.id || progress.get(id).is_some_and(is_recent)
         };
         members.iter().filter(|member| member.voter && is_heard(&member.id)).count()
     }
 
-    /// Tells whether a replica's instance has come back with an empty data folder since it was
-    /// heard: that says sooner than silence that the replica is lost.
+    /// Returns whether the instance of a replica has announced another replica since `heard`. It
+    /// then restarted with an empty data folder, which shows sooner than a timeout that the replica
+    /// is lost.
     fn is_replaced(&self, id: &ReplicaId, heard: Millis) -> bool {
-        let mut blanks = self.blanks.iter();
-        blanks.any(|(blank, seen)| blank.0 == id.0 && blank != id && *seen > heard)
+        let mut announced = self.announced.iter();
+        announced.any(|(other, seen)| other.0 == id.0 && other != id && *seen > heard)
     }
 
-    /// Tells whether one more voter can be borne: the voters of now go on without it, or all of
-    /// them are there.
+    /// Returns whether a new voter can be added without risking the quorum: either all current
+    /// voters are reachable, or the reachable ones are a majority even if the new voter fails.
     ///
-    /// A lost member of three counts until it is removed. A newcomer that votes beside it makes
-    /// four voters of which one is lost; if it is lost as well, the two that are left can never
-    /// decide anything again, not even to remove one. So it waits until the lost one is removed,
-    /// and its own loss costs nothing until then.
-    fn bears_newcomer(&self, now: Millis) -> bool {
+    /// A lost voter counts towards the quorum until it is removed. If one of three voters is lost
+    /// and a new one is promoted, there are four voters of which one is lost. If the new one is
+    /// lost too, the remaining two can never commit anything again, not even a removal. Promotion
+    /// therefore waits for the removal; until then, losing the new replica does no harm.
+    fn tolerates_new_voter(&self, now: Millis) -> bool {
         let voters = self.voters().len();
         let heard = self.heard_voters(now, self.members());
         heard == voters || heard > voters.div_ceil(2)
     }
 
-    /// Gives a vote to a learner that has caught up.
+    /// Promotes a learner that has caught up to a voter.
     pub(super) fn promote_learners(&mut self, now: Millis, out: &mut Vec<ConsensusOutput>) {
         if self.check_change().is_err() {
             return;
@@ -211,42 +213,42 @@
             members.iter_mut().find(|member| !member.voter && self.is_caught_up(now, &member.id));
         let Some(learner) = learner else { return };
         learner.voter = true;
-        if self.bears_newcomer(now) {
+        if self.tolerates_new_voter(now) {
             let last = self.log.last().index;
             let unix_ms = self.log.entry(last).map_or(0, |entry| entry.unix_ms);
-            // Whoever leads is the leader here; the proposal can't be refused.
+            // `check_change` succeeds only on the leader, so the proposal can't be refused.
             let _ = self.propose(now, unix_ms, Payload::Members(members), out);
         }
     }
 
-    /// Notes which of the replicas that were heard as blank have become members.
+    /// Records which of the announced replicas have become members.
     ///
-    /// A member says no more hellos, so its last one tells only that it was there. If it is lost
-    /// and removed, that one would let it be added again in place of the replica that came back,
-    /// and wait for a vote that it can never get. The hello itself is kept: it still tells that
-    /// the replica before it is lost.
-    pub(super) fn note_added(&mut self) {
+    /// A member sends no more hellos, so its last one may be out of date. If the member is lost and
+    /// removed, that hello would cause it to be added again instead of the replica that its
+    /// instance restarted as, and it could never catch up and be promoted. The announcement itself
+    /// is kept: it still shows that the previous replica of the instance is lost.
+    pub(super) fn track_joined(&mut self) {
         let members = self.log.members().0;
         let is_member = |id: &ReplicaId| members.iter().any(|member| member.id == *id);
-        let joined = self.blanks.keys().filter(|id| is_member(id)).cloned();
-        self.once_members.extend(joined);
-        self.once_members.retain(|id| self.blanks.contains_key(id));
+        let joined = self.announced.keys().filter(|id| is_member(id)).cloned();
+        self.joined.extend(joined);
+        self.joined.retain(|id| self.announced.contains_key(id));
     }
 
-    /// Lists the blank replicas that may be added, and when each was last heard.
+    /// Returns the announced replicas that may be added, and when each was last heard.
     pub(super) fn addable(&self) -> impl Iterator<Item = (&ReplicaId, Millis)> {
-        let never_members = |(id, _): &(&ReplicaId, &Millis)| !self.once_members.contains(*id);
-        self.blanks.iter().filter(never_members).map(|(id, seen)| (id, *seen))
+        let not_joined = |(id, _): &(&ReplicaId, &Millis)| !self.joined.contains(*id);
+        self.announced.iter().filter(not_joined).map(|(id, seen)| (id, *seen))
     }
 
-    /// Makes a replica outside any record known to those that the settings name.
-    pub(super) fn say_hello(&mut self, now: Millis, out: &mut Vec<ConsensusOutput>) {
+    /// Announces a replica outside any record to the control instances named in the settings.
+    pub(super) fn send_hello(&mut self, now: Millis, out: &mut Vec<ConsensusOutput>) {
         if !self.members().is_empty() || now < self.next_heartbeat {
             return;
         }
         self.next_heartbeat = now + HELLO_INTERVAL;
-        // An empty record has no members to write to; the sender of outputs addresses this one
-        // to all control instances.
+        // A replica without members knows no recipients. Replica number 0 marks a message that the
+        // caller sends to all control instances.
         let to = ReplicaId(self.id.0.clone(), 0);
         self.send(&to, ConsensusBody::Hello, out);
     }
--- a/src/kingcupgrade/coordination/consensus/mod.rs
+++ b/src/kingcupgrade/coordination/consensus/mod.rs
@@ -1,12 +1,13 @@
-//! Agreement among the replicas of the durable record on one log of entries.
+//! Raft consensus among the replicas of the durable record.
 //!
-//! A leader appends, a majority of the voters' disks makes an entry final. The machine names what
-//! must be on disk ([`ConsensusOutput::Persist`]) before what may be said; whoever drives it must
-//! carry out outputs in their order and sync before the first message that follows.
+//! A leader appends entries; an entry is committed once a majority of the voters has it on disk.
+//! The state machine emits what must be on disk ([`ConsensusOutput::Persist`]) before the messages
+//! that rely on it. The caller must carry out outputs in order, and sync the writes before it sends
+//! the first message that follows them.
 //!
-//! Before it stands for election a replica asks whether it would win, so that one that was cut off
-//! disturbs nobody when it returns. A leader that can't reach a majority steps down, so that
-//! nobody is answered from a record that has moved on without it.
+//! A replica holds a pre-vote before it starts an election, so that one that returns from a network
+//! partition does not depose a working leader. A leader that can't reach a majority steps down, so
+//! that it does not serve stale state.
 
 mod election;
 mod members;
@@ -24,49 +25,49 @@
     state::log::{HardState, Log, Persist, Stored},
 };
 
-/// How often a leader says that it lives.
+/// The interval between a leader's heartbeats.
 pub const HEARTBEAT: Millis = Millis(150);
-/// A follower waits at least this long without a heartbeat before it stands for election.
+/// The minimum time without a heartbeat after which a follower starts an election.
 pub const ELECTION_MIN: Millis = Millis(1_000);
-/// Each wait is longer by a random part of this.
+/// The range of the random delay added to [`ELECTION_MIN`], in milliseconds.
 const ELECTION_SPREAD: u64 = 1_000;
-/// One that has heard of no leader since its start waits only for as long as a leader's next
-/// heartbeat takes to reach it: after a common stop nobody leads, and callers wait. Where somebody
-/// does, the others refuse it before it disturbs anyone.
+/// The minimum election timeout of a replica that has not heard a leader since it started: long
+/// enough for a leader's next heartbeat to arrive. When all replicas restart at once there is no
+/// leader, and callers wait for an election. If there is a leader, the pre-vote fails and does not
+/// disrupt it.
 const FIRST_ELECTION_MIN: Millis = Millis(2 * HEARTBEAT.0);
-/// Each of these waits is longer by a random part of this.
+/// The range of the random delay added to [`FIRST_ELECTION_MIN`], in milliseconds.
 const FIRST_ELECTION_SPREAD: u64 = 2 * HEARTBEAT.0;
 /// A leader not confirmed by a majority for this long steps down.
 const QUORUM_LOSS: Millis = Millis(1_500);
 
-/// A replica not asked for so long stood still itself: what the others said meanwhile waits to be
-/// read, and their silence proves nothing.
+/// A longer gap between two ticks means that this process was stalled. Messages from the other
+/// replicas may then be waiting unread, so the lack of them does not show that they are down.
 const STALL: Millis = Millis(300);
-/// How long the others may take to be heard after that: a heartbeat, and its answer.
+/// How long after a stall the lack of messages is disregarded: time for a heartbeat and its reply.
 const STALL_GRACE: Millis = Millis(2 * HEARTBEAT.0);
 
-/// What the machine wants done, in this order.
+/// An action the caller must carry out; outputs are ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConsensusOutput {
-    /// Write to disk, synced before any later message leaves.
+    /// Write to disk and sync before any later message is sent.
     Persist(Persist),
     /// Send a message.
     Send(ConsensusMessage),
     /// Apply a committed entry.
     Apply(LogEntry),
-    /// Replace the applied state by a snapshot's.
+    /// Replace the applied state by the one in the snapshot.
     Restore(Snapshot),
 }
 
-/// A replica's role.
 #[derive(Clone, Debug)]
 enum Role {
     Follower { leader: Option<ReplicaId> },
     Candidate { pre: bool, votes: BTreeSet<ReplicaId> },
-    Leader { progress: BTreeMap<ReplicaId, Progress>, since: u64 },
+    Leader { progress: BTreeMap<ReplicaId, Progress>, first_index: u64 },
 }
 
-/// One replica.
+/// The consensus state machine of one replica.
 #[derive(Clone, Debug)]
 pub struct Consensus {
     id: ReplicaId,
@@ -78,29 +79,30 @@
     election_at: Millis,
     /// When a leader was last heard.
     heard_leader: Option<Millis>,
-    /// Until when the record was last confirmed to be the newest, by this replica's clock.
+    /// The latest time, by this replica's clock, at which a follower's applied state is known to
+    /// have been current.
     confirmed: Option<Millis>,
     next_heartbeat: Millis,
-    /// When it was last told that time passes.
+    /// The time of the last tick.
     ticked: Millis,
-    /// When it last stood still.
+    /// The end of the last stall after which [`STALL_GRACE`] was granted.
     stalled: Option<Millis>,
-    /// A snapshot being received.
+    /// The position and the bytes received so far of a snapshot being transferred.
     incoming: Option<(Position, Vec<u8>)>,
-    /// Replicas that belong to no record, and when they said so.
-    blanks: BTreeMap<ReplicaId, Millis>,
-    /// Blank replicas that have become members since they were heard.
-    once_members: BTreeSet<ReplicaId>,
+    /// Replicas that announced that they belong to no record, and when.
+    announced: BTreeMap<ReplicaId, Millis>,
+    /// The replicas in `announced` that have become members since their announcement.
+    joined: BTreeSet<ReplicaId>,
     random: u64,
-    /// How many voters a record that repairs itself has; `None` where operators decide.
+    /// The number of voters to which learners are promoted; `None` for no limit.
     voter_target: Option<usize>,
 }
 
 impl Consensus {
-    /// Makes a replica from what its disk held; `seed` sets the random waits before elections.
+    /// Creates a replica from its stored state; `seed` determines the random election timeouts.
     pub fn new(now: Millis, id: ReplicaId, stored: Stored, seed: u64) -> Consensus {
         let applied = stored.log.snapshot().position.index;
-        let mut machine = Consensus {
+        let mut replica = Consensus {
             id,
             hard_state: stored.hard_state,
             log: stored.log,
@@ -114,21 +116,22 @@
             ticked: now,
             stalled: None,
             incoming: None,
-            blanks: BTreeMap::new(),
-            once_members: BTreeSet::new(),
+            announced: BTreeMap::new(),
+            joined: BTreeSet::new(),
             random: seed | 1,
             voter_target: None,
         };
-        machine.put_off_election(now);
-        machine
+        replica.reset_election_timer(now);
+        replica
     }
 
-    /// Limits the voters to `target`, so that learners beyond wait for one to be lost.
+    /// Limits the number of voters to `target`; further learners are promoted only when a voter is
+    /// removed.
     pub fn set_voter_target(&mut self, target: usize) {
         self.voter_target = Some(target);
     }
 
-    /// Asks the voter that has most of the log to take over, before this leader stops.
+    /// Asks the voter with the most complete log to take over before this leader stops.
     pub fn hand_over(&mut self, out: &mut Vec<ConsensusOutput>) {
         let Role::Leader { progress, .. } = &self.role else { return };
         let voters = self.other_voters();
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Returns this replica's identity.
+    /// Returns this replica's identifier.
     pub fn id(&self) -> &ReplicaId {
         &self.id
     }
@@ -148,12 +151,12 @@
         self.hard_state.term
     }
 
-    /// Returns the index up to which entries are final.
+    /// Returns the index of the last committed entry.
     pub fn commit(&self) -> u64 {
         self.commit
     }
 
-    /// Returns the index up to which entries are applied.
+    /// Returns the index of the last applied entry.
     pub fn applied(&self) -> u64 {
         self.applied
     }
@@ -163,12 +166,12 @@
         &self.log
     }
 
-    /// Tells whether this replica leads.
+    /// Returns whether this replica is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader { .. })
     }
 
-    /// Returns the leader this replica follows, itself if it leads.
+    /// Returns the leader this replica follows, or itself if it is the leader.
     pub fn leader(&self) -> Option<&ReplicaId> {
         match &self.role {
             Role::Leader { .. } => Some(&self.id),
@@ -182,37 +185,38 @@
         self.log.members().0
     }
 
-    /// Returns how long ago a majority confirmed that the applied state is the newest, or `None`
-    /// if that is not known.
+    /// Returns how long ago a majority confirmed that the applied state is current, or `None` if
+    /// that is not known.
     pub fn age(&self, now: Millis) -> Option<Millis> {
         let confirmed = match &self.role {
-            Role::Leader { since, .. } if self.commit < *since => return None,
+            Role::Leader { first_index, .. } if self.commit < *first_index => return None,
             Role::Leader { .. } => Some(self.quorum_confirmed(now)),
             _ => self.confirmed,
         };
         confirmed.map(|confirmed| now.since(confirmed))
     }
 
-    /// Handles the passing of time.
+    /// Advances the timers to `now`.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<ConsensusOutput>) {
-        self.note_stall(now);
+        self.detect_stall(now);
         match &self.role {
             Role::Leader { .. } => self.tick_leader(now, out),
-            _ if self.is_voter() && now >= self.election_at => self.ask_for_votes(now, true, out),
+            _ if self.is_voter() && now >= self.election_at => self.request_votes(now, true, out),
             _ => {}
         }
-        self.note_added();
-        self.say_hello(now, out);
+        self.track_joined();
+        self.send_hello(now, out);
     }
 
-    /// Gives the others time to be heard after this replica stood still.
+    /// Detects that this process was stalled, and grants the other replicas [`STALL_GRACE`] to be
+    /// heard.
     ///
-    /// One that stands still again and again, as with a disk that hangs, gets that time once until
-    /// a majority was heard: it must not lead without one for good.
-    fn note_stall(&mut self, now: Millis) {
-        let stood_still = now.since(self.ticked) > STALL;
+    /// A leader that stalls repeatedly, as with a disk that hangs, is granted it only once until a
+    /// majority confirms it; otherwise it could stay leader indefinitely without a majority.
+    fn detect_stall(&mut self, now: Millis) {
+        let was_stalled = now.since(self.ticked) > STALL;
         self.ticked = now;
-        if !stood_still {
+        if !was_stalled {
             return;
         }
         if self.heard_leader.is_some() {
@@ -231,9 +235,10 @@
         out: &mut Vec<ConsensusOutput>,
     ) {
         if matches!(message.body, ConsensusBody::Hello) {
-            self.blanks.insert(message.from.clone(), now);
-            // One that was a member by an entry that was never final is blank still, and says so.
-            self.once_members.remove(&message.from);
+            self.announced.insert(message.from.clone(), now);
+            // The entry that added this replica may have been replaced before it was committed. The
+            // replica is then still outside the record and sends hellos again.
+            self.joined.remove(&message.from);
             return;
         }
         if message.to != self.id {
@@ -251,7 +256,7 @@
             _ => {}
         }
         if message.term < self.term() {
-            self.tell_newer_term(message, out);
+            self.reply_with_newer_term(message, out);
             return;
         }
         if message.term > self.term() {
@@ -269,11 +274,11 @@
         let from = &message.from;
         match &message.body {
             ConsensusBody::Append { previous, entries, commit, sent, age } => {
-                self.follow(now, from);
+                self.follow_leader(now, from);
                 self.on_append(now, from, *previous, entries, *commit, *sent, *age, out);
             }
             ConsensusBody::Chunk { position, offset, data, last, sent } => {
-                self.follow(now, from);
+                self.follow_leader(now, from);
                 self.on_chunk(from, *position, *offset, data, *last, *sent, out);
             }
             ConsensusBody::AppendReply { matched, index, sent } => {
@@ -284,7 +289,7 @@
             }
             ConsensusBody::TakeOver => {
                 if self.is_voter() {
-                    self.ask_for_votes(now, false, out);
+                    self.request_votes(now, false, out);
                 }
             }
             ConsensusBody::Vote { .. } | ConsensusBody::VoteReply { .. } | ConsensusBody::Hello => {
@@ -292,9 +297,13 @@
         }
     }
 
-    /// Lets a sender of an older term know the newer one; without it, a leader that was cut off
-    /// would go on believing in itself until its quorum check.
-    fn tell_newer_term(&mut self, message: &ConsensusMessage, out: &mut Vec<ConsensusOutput>) {
+    /// Reports the current term to a leader of an older one. Without the reply, a leader that
+    /// returns from a network partition would not step down until [`QUORUM_LOSS`] has passed.
+    fn reply_with_newer_term(
+        &mut self,
+        message: &ConsensusMessage,
+        out: &mut Vec<ConsensusOutput>,
+    ) {
         let sent = match &message.body {
             ConsensusBody::Append { sent, .. } | ConsensusBody::Chunk { sent, .. } => *sent,
             _ => return,
@@ -304,13 +313,13 @@
         self.send(&message.from, body, out);
     }
 
-    /// Proposes a change of the record.
+    /// Appends an entry to the log and sends it to the other members.
     ///
-    /// Returns the index the change gets if it becomes final.
+    /// Returns the index of the entry, which may still be replaced until committed.
     ///
     /// # Errors
     ///
-    /// Returns [`Code::NotLeader`] if this replica does not lead.
+    /// Returns [`Code::NotLeader`] if this replica is not the leader.
     pub fn propose(
         &mut self,
         now: Millis,
@@ -326,15 +335,15 @@
         Ok(index)
     }
 
-    /// Sends what was appended to the other members.
+    /// Sends appended entries to the other members.
     pub fn flush(&mut self, now: Millis, out: &mut Vec<ConsensusOutput>) {
         self.replicate(now, out);
         self.advance_commit(out);
     }
 
-    /// Appends a change to a leader's log and returns its index.
+    /// Appends an entry to a leader's log and returns its index.
     ///
-    /// Changes appended before the next [`Consensus::flush`] share messages and one sync.
+    /// Entries appended before the next [`Consensus::flush`] share messages and one disk sync.
     pub fn append(
         &mut self,
         now: Millis,
@@ -350,7 +359,8 @@
         index
     }
 
-    /// Replaces the entries up to the last applied one by a snapshot of the applied state.
+    /// Replaces the entries up to the last applied one by a snapshot; `data` is the encoded applied
+    /// state.
     pub fn compact(&mut self, data: Vec<u8>, out: &mut Vec<ConsensusOutput>) {
         let index = self.applied;
         let Some(term) = self.log.term(index) else { return };
@@ -360,7 +370,6 @@
         out.push(ConsensusOutput::Persist(Persist::Snapshot(snapshot)));
     }
 
-    /// Applies what is final and not yet applied.
     fn apply(&mut self, out: &mut Vec<ConsensusOutput>) {
         while self.applied < self.commit {
             let Some(entry) = self.log.entry(self.applied + 1) else { break };
--- a/src/kingcupgrade/coordination/consensus/replication.rs
+++ b/src/kingcupgrade/coordination/consensus/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: the leader's log on the others' disks.
+//! Log replication from the leader to the other members.
 
 use super::{Consensus, ConsensusOutput, HEARTBEAT, QUORUM_LOSS, Role, STALL_GRACE};
 use crate::{
@@ -7,30 +7,30 @@
     state::log::Persist,
 };
 
-/// Entries in one message at most.
+/// The maximum number of entries in one message.
 const MAX_ENTRIES: usize = 256;
-/// Bytes of a snapshot in one message.
+/// The maximum number of snapshot bytes in one message.
 const CHUNK_LEN: usize = 256 << 10;
 
-/// What a leader knows of another member.
+/// The replication state of another member, as the leader knows it.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
-    /// The next entry to send.
+    /// The index of the next entry to send.
     pub(super) next: u64,
-    /// The last entry known to be on its disk.
+    /// The index of the last entry known to be on its disk.
     pub(super) matched: u64,
-    /// The leader's clock in the newest message it answered.
+    /// The leader's clock in the newest message that the member has answered.
     pub(super) acked: Millis,
-    /// Whether it has answered this leader at all. Until then `acked` is when it was taken up.
+    /// Whether it has answered this leader at all; until then `acked` is when tracking began.
     pub(super) has_answered: bool,
-    /// How much of the snapshot it has; `Some` while one is being sent.
+    /// The position of the snapshot being sent, if any, and the bytes of it that were received.
     pub(super) snapshot: Option<(Position, u64)>,
 }
 
 impl Consensus {
     pub(super) fn tick_leader(&mut self, now: Millis, out: &mut Vec<ConsensusOutput>) {
-        let may_be_unread = self.stalled.is_some_and(|at| now.since(at) < STALL_GRACE);
-        if now.since(self.quorum_confirmed(now)) > QUORUM_LOSS && !may_be_unread {
+        let in_stall_grace = self.stalled.is_some_and(|at| now.since(at) < STALL_GRACE);
+        if now.since(self.quorum_confirmed(now)) > QUORUM_LOSS && !in_stall_grace {
             self.step_down(now);
             return;
         }
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends new entries to all members.
+    /// Sends new entries to all other members.
     pub(super) fn replicate(&mut self, now: Millis, out: &mut Vec<ConsensusOutput>) {
         self.send_all(now, false, out);
     }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Sends a member what it lacks; with `heartbeat` also if it lacks nothing.
+    /// Sends a member the entries it lacks; with `heartbeat`, sends a message in any case.
     fn send_to(
         &mut self,
         now: Millis,
@@ -67,7 +67,7 @@
         let Some(state) = progress.get_mut(peer) else { return };
         let previous = state.next - 1;
         let Some(term) = self.log.term(previous) else {
-            // Chunks are sent again with each heartbeat until they are acknowledged.
+            // A chunk is resent with each heartbeat until it is acknowledged.
             if heartbeat || state.snapshot.is_none() {
                 let position = self.log.snapshot().position;
                 let known = state.snapshot.filter(|(sending, _)| *sending == position);
@@ -119,15 +119,16 @@
         out: &mut Vec<ConsensusOutput>,
     ) {
         let base = self.log.snapshot().position.index;
-        // What a snapshot covers is final and therefore matches.
-        let fits = previous.index < base || self.log.term(previous.index) == Some(previous.term);
-        if !fits {
+        // Entries covered by the snapshot are committed and therefore match.
+        let matches_log =
+            previous.index < base || self.log.term(previous.index) == Some(previous.term);
+        if !matches_log {
             let guess = self.log.last().index.min(previous.index.saturating_sub(1)).max(base);
             let body = ConsensusBody::AppendReply { matched: false, index: guess, sent };
             self.send(from, body, out);
             return;
         }
-        self.take_entries(entries, out);
+        self.append_entries(entries, out);
         let matched = previous.index + entries.len() as u64;
         self.commit = self.commit.max(commit.min(matched));
         self.apply(out);
@@ -138,14 +139,15 @@
         self.send(from, body, out);
     }
 
-    /// Takes the entries that the log lacks, replacing ones that another leader left unfinished.
-    fn take_entries(&mut self, entries: &[LogEntry], out: &mut Vec<ConsensusOutput>) {
+    /// Appends the entries that the log lacks, and replaces uncommitted ones of an earlier leader
+    /// that conflict with them.
+    fn append_entries(&mut self, entries: &[LogEntry], out: &mut Vec<ConsensusOutput>) {
         let base = self.log.snapshot().position.index;
         let is_new = |entry: &&LogEntry| {
             entry.index > base && self.log.term(entry.index) != Some(entry.term)
         };
         let Some(first) = entries.iter().find(is_new).map(|entry| entry.index) else { return };
-        debug_assert!(first > self.commit, "an entry that is final is never replaced");
+        debug_assert!(first > self.commit, "a committed entry is never replaced");
         self.log.truncate(first);
         let new: Vec<LogEntry> = entries.iter().filter(|e| e.index >= first).cloned().collect();
         for entry in &new {
@@ -204,7 +206,7 @@
             received.extend_from_slice(data);
         }
         if follows && last {
-            self.install(from, &received, sent, out);
+            self.install_snapshot(from, &received, sent, out);
             return;
         }
         let count = received.len() as u64;
@@ -212,7 +214,7 @@
         self.send(from, ConsensusBody::ChunkReply { position, received: count, sent }, out);
     }
 
-    fn install(
+    fn install_snapshot(
         &mut self,
         from: &ReplicaId,
         encoded: &[u8],
@@ -249,7 +251,8 @@
         }
     }
 
-    /// Returns the newest time at which a majority of the voters was known to follow.
+    /// Returns the latest time at which a majority of the voters is known to have followed this
+    /// leader.
     pub(super) fn quorum_confirmed(&self, now: Millis) -> Millis {
         let Role::Leader { progress, .. } = &self.role else { return Millis::ZERO };
         let heard = |voter: &ReplicaId| {
@@ -259,28 +262,28 @@
                 progress.get(voter).map_or(Millis::ZERO, |p| p.acked)
             }
         };
-        self.majority_of(heard)
+        self.quorum_value(heard)
     }
 
-    /// Returns the largest value that a majority of the voters reaches.
-    fn majority_of<T: Ord + Default + Copy>(&self, value: impl Fn(&ReplicaId) -> T) -> T {
+    /// Returns the largest value that a majority of the voters has reached.
+    fn quorum_value<T: Ord + Default + Copy>(&self, value: impl Fn(&ReplicaId) -> T) -> T {
         let mut values: Vec<T> = self.voters().iter().map(value).collect();
         values.sort();
         let majority = values.len() / 2 + 1;
         values.len().checked_sub(majority).map_or(T::default(), |place| values[place])
     }
 
-    /// Makes final what a majority has on disk.
+    /// Commits the entries that a majority of the voters has on disk.
     ///
-    /// Only an entry of the own term is counted: an older one that a majority holds may still be
-    /// replaced by a leader that never saw it.
+    /// Only an entry of the leader's own term is committed by counting replicas. An entry of an
+    /// older term may still be replaced by a later leader that lacks it, even if a majority has it.
     pub(super) fn advance_commit(&mut self, out: &mut Vec<ConsensusOutput>) {
         let Role::Leader { progress, .. } = &self.role else { return };
         let last = self.log.last().index;
         let on_disk = |voter: &ReplicaId| {
             if *voter == self.id { last } else { progress.get(voter).map_or(0, |p| p.matched) }
         };
-        let reached = self.majority_of(on_disk);
+        let reached = self.quorum_value(on_disk);
         if reached > self.commit && self.log.term(reached) == Some(self.term()) {
             self.commit = reached;
             self.apply(out);
