--- a/src/kingcupgrade/coordination/node/mod.rs
+++ b/src/kingcupgrade/coordination/node/mod.rs
@@ -1,7 +1,7 @@
-//! One instance: its machines, and the messages between them.
+//! One instance: its state machines and the messages between them.
 //!
-//! The node is the whole of an instance's decisions. A process wraps it in threads for I/O; a test
-//! or a measurement feeds it messages directly.
+//! The node makes all decisions of an instance. A process runs it with threads for I/O; tests and
+//! load measurements feed it messages directly.
 
 mod operators;
 mod orders;
@@ -34,21 +34,21 @@
     state::log::{Log, Persist},
 };
 
-/// A pool without dispatcher for this long is served by static shares.
-const FALLBACK_AFTER: Millis = Millis(6_000);
-/// How long a claim may take to be committed.
-const CLAIM_PATIENCE: Millis = Millis(5_000);
-/// How long a claim's end is sent again and again.
-const SETTLE_PATIENCE: Millis = Millis(120_000);
-/// How long an operator's change may take.
-const CHANGE_PATIENCE: Millis = Millis(5_000);
-/// Added to a claim's span, for the way to the upstream and back.
-const CLAIM_SLACK: Millis = Millis(10_000);
+/// A pool that has had no dispatcher for this long is served by static shares.
+const FALLBACK_DELAY: Millis = Millis(6_000);
+/// The timeout for a claim to be committed.
+const CLAIM_TIMEOUT: Millis = Millis(5_000);
+/// How long the settlement of a claim is retried.
+const SETTLE_TIMEOUT: Millis = Millis(120_000);
+/// The timeout for an operator's change to be committed.
+const CHANGE_TIMEOUT: Millis = Millis(5_000);
+/// Added to a claim's duration for the round trip to the upstream.
+const CLAIM_MARGIN: Millis = Millis(10_000);
 
-/// Names an operator's request that waits for an answer.
+/// Identifies an operator's request that awaits a reply.
 pub type Ticket = u64;
 
-/// A request key to be claimed before its request is sent.
+/// The key of a request, which must be claimed before the request is sent.
 #[derive(Clone, Debug)]
 pub struct KeyedRequest {
     /// The key.
@@ -57,42 +57,43 @@
     pub digest: u128,
 }
 
-/// Something that happened.
+/// An event that the node handles.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A message arrived from an authenticated instance.
     Received(Instance, Message),
-    /// An instance could not be dialled.
+    /// A connection to an instance could not be established.
     DialFailed {
         /// The instance.
         instance: Instance,
-        /// Whether its machine answered that no such process listens; otherwise it is silent.
+        /// Whether its host refused the connection because no process listens there; otherwise
+        /// nothing answered.
         refused: bool,
     },
     /// A caller's request arrived.
     Arrived(Arrival, Option<KeyedRequest>),
-    /// An attempt ended.
+    /// An attempt to run a request on an upstream ended.
     AttemptEnded {
         /// The request.
         id: RequestId,
-        /// How.
+        /// The outcome.
         end: AttemptEnd,
-        /// What it cost.
+        /// The cost of the attempt.
         cost: u32,
-        /// Time from sending to the first byte of the answer.
+        /// Time from sending the request to the first byte of the answer, in milliseconds.
         first_byte_ms: Option<u32>,
-        /// The answer to keep for a request key.
+        /// The answer to store for the request key.
         answer: Option<KeptAnswer>,
     },
-    /// A request has cost this much so far.
+    /// The cost of a running request so far.
     Progressed(RequestId, u32),
-    /// A caller hung up before its request was sent.
+    /// A caller disconnected before its request was sent.
     HungUp(RequestId),
     /// The platform listed a service's upstreams in this failure domain.
     Listed(Service, Vec<Listed>),
-    /// An engine answered a question.
+    /// An engine answered a request, or failed to.
     EngineAnswered(AskId, EngineAnswer),
-    /// An operator asks.
+    /// A request from an operator arrived.
     Asked(Ticket, OperatorRequest),
     /// The disk failed; the control replica must stop.
     StorageFailed(CodedError),
@@ -102,10 +103,10 @@
     Tick,
 }
 
-/// Something to do, in this order.
+/// An action the caller must carry out; outputs are ordered.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Write to disk, synced before any later output is carried out.
+    /// Write to disk and sync before any later output is carried out.
     Persist(Persist),
     /// Send a message.
     Send(Instance, Message),
@@ -115,34 +116,35 @@
         id: RequestId,
         /// The upstream.
         upstream: UpstreamName,
-        /// Where it listens.
+        /// The upstream's address.
         address: std::net::SocketAddr,
     },
-    /// Give a caller its final answer.
+    /// Refuse a caller's request.
     GiveUp {
         /// The request.
         id: RequestId,
-        /// Why.
+        /// The reason.
         code: Code,
-        /// When to come back.
+        /// How long the caller should wait before it retries.
         retry_after: Millis,
     },
-    /// Answer a caller with a kept answer.
+    /// Answer a caller with the stored answer of an earlier request.
     Replay(RequestId, KeptAnswer),
-    /// Answer an operator.
+    /// Reply to an operator.
     Answer(Ticket, OperatorReply),
-    /// Ask the platform for the upstreams of these services from now on.
+    /// Poll the platform for the upstreams of exactly these services from now on.
     Watch(BTreeSet<Service>),
-    /// Ask an engine.
+    /// Send a request to an engine.
     AskEngine(Ask),
     /// The configuration changed.
     ViewChanged,
-    /// A caller's request needs no verdict any more.
+    /// A caller's request is closed; no further output concerns it.
     Finished(RequestId),
     /// Log a decision.
     Decided(Decision),
 }
 
+/// What the reply to a proposal is for.
 #[derive(Clone, Debug)]
 enum Awaited {
     Claim(RequestId),
@@ -168,29 +170,31 @@
     dispatchers: BTreeMap<Service, Dispatcher>,
     /// Orders to the engines of the pools this instance dispatches.
     orders: BTreeMap<Service, OrderBook>,
-    /// Static shares, for pools without dispatcher.
+    /// Dispatchers of this instance's static shares, for pools without a dispatcher.
     shares: BTreeMap<Service, Dispatcher>,
-    homeless: BTreeMap<Service, Millis>,
+    /// Services without a known lease holder, and since when.
+    without_dispatcher: BTreeMap<Service, Millis>,
     control: Option<ControlMachine>,
     client: RecordClient,
+    /// Open proposals, by their number.
     awaited: BTreeMap<u64, Awaited>,
     claims: BTreeMap<RequestId, ClaimState>,
-    /// Names this process in claims. The incarnation would not do: two instances that start in the
-    /// same millisecond would take each other's claims for resends of their own, and both would
-    /// send the request.
+    /// A random number that identifies this process in claims. The incarnation is not enough: two
+    /// instances that start in the same millisecond would take each other's claims for their own
+    /// resends, and both would send the request.
     claimer: u64,
     next_claim: u64,
     watched: BTreeSet<Service>,
     /// Messages from this instance to itself.
-    own: VecDeque<Message>,
+    loopback: VecDeque<Message>,
     draining: bool,
 }
 
 impl Node {
-    /// Makes the node of an instance.
+    /// Creates the node of an instance.
     ///
-    /// `incarnation` grows with each start of the instance; `claimer` is a random number that no
-    /// other process has; `control` is its replica of the record, if it has one.
+    /// `incarnation` increases with each start of the instance; `claimer` is a random number unique
+    /// to the process; `control` is its replica of the record, if it has one.
     pub fn new(
         now: Millis,
         settings: Settings,
@@ -202,13 +206,13 @@
         let instance = own.instance.clone();
         let domain = own.failure_domain.clone();
         let is_entry = own.has_role(Role::Entry);
-        let residents = residents(&settings, &domain);
-        let neighbours = residents.iter().filter(|i| **i != instance).cloned().collect();
+        let domain_entries = entries_in_domain(&settings, &domain);
+        let neighbours = domain_entries.iter().filter(|i| **i != instance).cloned().collect();
         let controls = settings.with_role(Role::Control).map(|p| p.instance.clone());
         let client = RecordClient::new(&instance, controls, neighbours);
         let entry = is_entry.then(|| EntryMachine::new(domain.clone(), incarnation));
         let leases = (is_entry && !settings.static_shares)
-            .then(|| LeaseBook::new(now, incarnation, instance, &domain, residents));
+            .then(|| LeaseBook::new(now, incarnation, instance, &domain, domain_entries));
         Node {
             domain,
             view: View::default(),
@@ -217,7 +221,7 @@
             dispatchers: BTreeMap::new(),
             orders: BTreeMap::new(),
             shares: BTreeMap::new(),
-            homeless: BTreeMap::new(),
+            without_dispatcher: BTreeMap::new(),
             control,
             client,
             awaited: BTreeMap::new(),
@@ -225,13 +229,13 @@
             claimer,
             next_claim: 1,
             watched: BTreeSet::new(),
-            own: VecDeque::new(),
+            loopback: VecDeque::new(),
             draining: false,
             settings,
         }
     }
 
-    /// Returns the configuration in force here.
+    /// Returns the configuration in force on this instance.
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -246,22 +250,22 @@
         self.control.as_ref()
     }
 
-    /// Returns the log as it stands, for writing it anew.
+    /// Returns the current log, for rewriting it on disk.
     pub fn log(&self) -> Option<&Log> {
         self.control.as_ref().map(|control| control.consensus().log())
     }
 
-    /// Returns how many callers' requests are open.
+    /// Returns the number of open requests from callers.
     pub fn open_requests(&self) -> usize {
         self.entry.as_ref().map_or(0, EntryMachine::open_requests)
     }
 
-    /// Tells whether a drained instance has nothing left to do.
+    /// Returns whether the instance is draining and has no open requests or proposals.
     pub fn is_drained(&self) -> bool {
         self.draining && self.open_requests() == 0 && self.awaited.is_empty()
     }
 
-    /// Handles an input; `unix_ms` is the wall clock.
+    /// Handles an input; `unix_ms` is the wall-clock time.
     pub fn handle(&mut self, now: Millis, unix_ms: u64, input: Input, out: &mut Vec<Output>) {
         self.expire_leases(now, out);
         match input {
@@ -286,7 +290,7 @@
             Input::HungUp(id) => self.on_hang_up(now, id),
             Input::Listed(service, listing) => self.on_listed(now, &service, &listing, out),
             Input::EngineAnswered(id, answer) => self.on_engine_answer(now, &id, answer, out),
-            Input::Asked(ticket, request) => self.on_asked(now, ticket, request, out),
+            Input::Asked(ticket, request) => self.on_operator_request(now, ticket, request, out),
             Input::StorageFailed(err) => {
                 if let Some(control) = &mut self.control {
                     control.on_storage_failed(err);
@@ -295,32 +299,32 @@
             Input::Drain => self.drain(now, out),
             Input::Tick => self.tick(now, out),
         }
-        self.deliver_own(now, unix_ms, out);
+        self.deliver_loopback(now, unix_ms, out);
     }
 
-    /// Returns when a batch should be completed at the latest, though nothing happens.
+    /// Returns the latest time at which [`Node::flush`] should be called even without inputs.
     pub fn next_flush(&self) -> Option<Millis> {
         self.entry.as_ref().and_then(EntryMachine::next_report)
     }
 
-    /// Completes a batch of inputs: sends what was gathered over it.
+    /// Completes a batch of inputs and sends the messages gathered during it.
     pub fn flush(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<Output>) {
         self.run_control(out, |control, outputs| control.flush(now, outputs));
         self.run_entry(now, out, |entry, _, outputs| entry.report(now, outputs));
         self.send_proposals(now, out);
-        self.deliver_own(now, unix_ms, out);
+        self.deliver_loopback(now, unix_ms, out);
     }
 
-    fn deliver_own(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<Output>) {
+    fn deliver_loopback(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<Output>) {
         let instance = self.settings.instance.clone();
-        while let Some(message) = self.own.pop_front() {
+        while let Some(message) = self.loopback.pop_front() {
             self.on_message(now, unix_ms, &instance, &message, out);
         }
     }
 
     fn send(&mut self, to: Instance, message: Message, out: &mut Vec<Output>) {
         if to == self.settings.instance {
-            self.own.push_back(message);
+            self.loopback.push_back(message);
         } else {
             out.push(Output::Send(to, message));
         }
@@ -343,7 +347,7 @@
                 });
             }
             Message::Record(message) => self.on_record(now, unix_ms, from, message, out),
-            // Of fleets that find themselves; this one's settings name all instances.
+            // Used by fleets with automatic discovery; here the settings name all instances.
             Message::Fleet(_) => {}
         }
     }
@@ -356,7 +360,7 @@
         let Some(leases) = &mut self.leases else { return };
         let mut outputs = Vec::new();
         leases.retire(now, &mut outputs);
-        self.carry_out_leases(now, outputs, out);
+        self.handle_lease_outputs(now, outputs, out);
     }
 
     fn tick(&mut self, now: Millis, out: &mut Vec<Output>) {
@@ -365,9 +369,9 @@
         if let Some(leases) = &mut self.leases {
             let mut outputs = Vec::new();
             leases.tick(now, &mut outputs);
-            self.carry_out_leases(now, outputs, out);
+            self.handle_lease_outputs(now, outputs, out);
         }
-        self.keep_shares(now, out);
+        self.update_shares(now, out);
         self.tick_dispatchers(now, out);
         self.tick_orders(now, out);
         let active = self.entry.iter().flat_map(|entry| entry.active_services().cloned());
@@ -378,18 +382,18 @@
     }
 }
 
-fn nothing_there(detail: &str) -> OperatorReply {
+fn not_found(detail: &str) -> OperatorReply {
     OperatorReply::Failed(CodedError::new(Code::NothingThere, detail))
 }
 
-/// Lists the entries of a failure domain.
-fn residents(settings: &Settings, domain: &FailureDomain) -> Vec<Instance> {
+/// Returns the instances with the entry role in a failure domain.
+fn entries_in_domain(settings: &Settings, domain: &FailureDomain) -> Vec<Instance> {
     let entries = settings.with_role(Role::Entry);
     let of_domain = entries.filter(|peer| peer.failure_domain == *domain);
     of_domain.map(|peer| peer.instance.clone()).collect()
 }
 
-/// Lists the failure domains with entries, without `own`.
+/// Returns the failure domains other than `own` that have instances with the entry role.
 fn other_domains(settings: &Settings, own: &FailureDomain) -> BTreeSet<FailureDomain> {
     let entries = settings.with_role(Role::Entry);
     entries.map(|peer| peer.failure_domain.clone()).filter(|domain| domain != own).collect()
--- a/src/kingcupgrade/coordination/node/operators.rs
+++ b/src/kingcupgrade/coordination/node/operators.rs
@@ -1,8 +1,8 @@
-//! What operators ask of this instance.
+//! Requests from operators.
 
 use std::collections::BTreeMap;
 
-use super::{Awaited, CHANGE_PATIENCE, Node, Output, Ticket, nothing_there};
+use super::{Awaited, CHANGE_TIMEOUT, Node, Output, Ticket, not_found};
 use crate::{
     coordination::{dispatcher::Dispatcher, orders::OrderBook},
     core::{Millis, Service, UpstreamName},
@@ -15,7 +15,7 @@
 };
 
 impl Node {
-    pub(super) fn on_asked(
+    pub(super) fn on_operator_request(
         &mut self,
         now: Millis,
         ticket: Ticket,
@@ -26,24 +26,24 @@
             OperatorRequest::Change { command: Command::SetDomain { domain, .. } }
                 if !self.settings.peers.iter().any(|peer| peer.failure_domain == domain) =>
             {
-                nothing_there(&format!("no instance is in a failure domain {domain}"))
+                not_found(&format!("no instance is in a failure domain {domain}"))
             }
             OperatorRequest::Change { command } => {
-                let proposal = self.client.propose(now, command, CHANGE_PATIENCE);
+                let proposal = self.client.propose(now, command, CHANGE_TIMEOUT);
                 self.awaited.insert(proposal, Awaited::Operator(ticket));
                 return;
             }
             OperatorRequest::Status => OperatorReply::Status(Box::new(self.status(now))),
             OperatorRequest::Document { service } => match self.view.documents().get(&service) {
                 Some(in_force) => OperatorReply::Document(in_force.stored.clone()),
-                None => nothing_there(&format!("no document of {service} is in force here")),
+                None => not_found(&format!("no document of {service} is in force here")),
             },
             OperatorRequest::History { service } => match &self.control {
                 Some(control) => {
                     let revisions = control.record().revisions(&service).cloned().collect();
                     OperatorReply::History { revisions }
                 }
-                None => nothing_there("ask a control instance for the history"),
+                None => not_found("ask a control instance for the history"),
             },
             OperatorRequest::Backup => match &mut self.control {
                 Some(control) if !control.is_member() => not_a_member(),
@@ -52,7 +52,7 @@
                     let (index, data) = control.backup();
                     OperatorReply::Backup(Backup { index, confirmed, data: to_hex(&data) })
                 }
-                None => nothing_there("ask a control instance for a backup"),
+                None => not_found("ask a control instance for a backup"),
             },
             OperatorRequest::Members => match &self.control {
                 Some(control) if !control.is_member() => not_a_member(),
@@ -60,13 +60,13 @@
                     members: control.consensus().members().to_vec(),
                     leader: control.consensus().leader().map(|leader| leader.0.clone()),
                 },
-                None => nothing_there("ask a control instance for the members"),
+                None => not_found("ask a control instance for the members"),
             },
         };
         out.push(Output::Answer(ticket, reply));
     }
 
-    /// Describes what the instance knows and does.
+    /// Returns the status of the instance.
     pub fn status(&self, now: Millis) -> Status {
         let revisions = self.view.documents().iter();
         let control = self.control.as_ref().map(|control| ControlStatus {
@@ -114,7 +114,8 @@
     }
 }
 
-/// Answers for a replica that holds no record: what it has is nothing, not the record's nothing.
+/// Returns the reply of a replica that is not a member of a record. Its state is empty because it
+/// has no record, which must not be taken for an empty record.
 fn not_a_member() -> OperatorReply {
-    nothing_there("this replica is no member of a record; ask another control instance")
+    not_found("this replica is no member of a record; ask another control instance")
 }
--- a/src/kingcupgrade/coordination/node/orders.rs
+++ b/src/kingcupgrade/coordination/node/orders.rs
@@ -28,7 +28,7 @@
         });
         let mut outputs = Vec::new();
         book.tick(now, until, engines, &mut outputs);
-        self.carry_out_orders(now, service, outputs, out);
+        self.handle_order_outputs(now, service, outputs, out);
     }
 
     pub(super) fn on_engine_answer(
@@ -41,10 +41,10 @@
         let Some(book) = self.orders.get_mut(&id.service) else { return };
         let mut outputs = Vec::new();
         book.on_answer(now, id, answer, &mut outputs);
-        self.carry_out_orders(now, &id.service, outputs, out);
+        self.handle_order_outputs(now, &id.service, outputs, out);
     }
 
-    fn carry_out_orders(
+    fn handle_order_outputs(
         &mut self,
         now: Millis,
         service: &Service,
@@ -55,7 +55,7 @@
         for output in outputs {
             match output {
                 OrderOutput::Ask(ask) => out.push(Output::AskEngine(ask)),
-                OrderOutput::HeldChanged => self.set_standing(service),
+                OrderOutput::HeldChanged => self.update_availability(service),
                 OrderOutput::Decided(decision) => out.push(Output::Decided(decision)),
                 OrderOutput::Changed(upstream) => {
                     if let Some(dispatcher) = self.dispatchers.get_mut(service) {
@@ -64,11 +64,11 @@
                 }
             }
         }
-        self.carry_out_dispatch(now, service, dispatched, out);
+        self.handle_dispatcher_outputs(now, service, dispatched, out);
     }
 
-    /// Tells a pool's dispatcher, and a static share, what may get no new requests.
-    pub(super) fn set_standing(&mut self, service: &Service) {
+    /// Updates which upstreams may get no new requests in a pool's dispatcher and static share.
+    pub(super) fn update_availability(&mut self, service: &Service) {
         let serving = !self.view.is_out(&self.domain);
         let mut withheld = self.view.leaving();
         if let Some(share) = self.shares.get_mut(service) {
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -1,8 +1,8 @@
-//! Leases, dispatchers and static shares of this failure domain's pools.
+//! Leases, dispatchers and static shares of the pools of this failure domain.
 
 use std::collections::BTreeSet;
 
-use super::{FALLBACK_AFTER, Node, Output, other_domains, residents};
+use super::{FALLBACK_DELAY, Node, Output, entries_in_domain, other_domains};
 use crate::{
     coordination::{
         decision::Decision,
@@ -33,15 +33,16 @@
         }
         let mut outputs = Vec::new();
         leases.on_message(now, from, message, &mut outputs);
-        self.carry_out_leases(now, outputs, out);
+        self.handle_lease_outputs(now, outputs, out);
         if let LeaseMessage::Reply { granted, sharing, .. } = message {
-            self.on_acknowledged(now, from, granted, sharing);
+            self.on_lease_acknowledged(now, from, granted, sharing);
         }
-        self.keep_shares(now, out);
+        self.update_shares(now, out);
     }
 
-    /// Notes which of this instance's leases another one knows of and makes no use against.
-    fn on_acknowledged(
+    /// Records which of this instance's leases another instance acknowledges while it runs no
+    /// requests of the service under a static share.
+    fn on_lease_acknowledged(
         &mut self,
         now: Millis,
         from: &Instance,
@@ -60,10 +61,10 @@
         let Some(leases) = &mut self.leases else { return };
         let mut outputs = Vec::new();
         leases.expire(now, &mut outputs);
-        self.carry_out_leases(now, outputs, out);
+        self.handle_lease_outputs(now, outputs, out);
     }
 
-    pub(super) fn carry_out_leases(
+    pub(super) fn handle_lease_outputs(
         &mut self,
         now: Millis,
         outputs: Vec<LeaseOutput>,
@@ -72,7 +73,7 @@
         for output in outputs {
             match output {
                 LeaseOutput::Send(to, message) => self.send(to, Message::Lease(message), out),
-                LeaseOutput::Gained(service, term) => self.on_gained(now, service, term, out),
+                LeaseOutput::Gained(service, term) => self.on_lease_gained(now, service, term, out),
                 LeaseOutput::Lost(service, term) => {
                     self.dispatchers.remove(&service);
                     self.orders.remove(&service);
@@ -82,11 +83,11 @@
         }
     }
 
-    fn on_gained(&mut self, now: Millis, service: Service, term: u64, out: &mut Vec<Output>) {
+    fn on_lease_gained(&mut self, now: Millis, service: Service, term: u64, out: &mut Vec<Output>) {
         let Some(in_force) = self.view.documents().get(&service) else { return };
         let document = (*in_force.document).clone();
-        let residents = residents(&self.settings, &self.domain);
-        let dispatcher = self.new_dispatcher(now, &service, term, document, residents);
+        let domain_entries = entries_in_domain(&self.settings, &self.domain);
+        let dispatcher = self.new_dispatcher(now, &service, term, document, domain_entries);
         self.dispatchers.insert(service.clone(), dispatcher);
         self.orders.insert(service.clone(), OrderBook::new(now, service.clone(), term));
         out.push(Output::Decided(Decision::Lease { service, term, held: true }));
@@ -99,11 +100,11 @@
         service: &Service,
         term: u64,
         document: Document,
-        residents: Vec<Instance>,
+        domain_entries: Vec<Instance>,
     ) -> Dispatcher {
         let pool = Pool(service.clone(), self.domain.clone());
         let instance = self.settings.instance.clone();
-        let mut dispatcher = Dispatcher::new(now, pool, instance, term, document, residents);
+        let mut dispatcher = Dispatcher::new(now, pool, instance, term, document, domain_entries);
         let domains = self.settings.peers.iter();
         dispatcher.set_domains(domains.map(|p| (p.instance.clone(), p.failure_domain.clone())));
         dispatcher.set_standing(!self.view.is_out(&self.domain), &self.view.leaving());
@@ -144,16 +145,16 @@
             let mut outputs = Vec::new();
             let writer = message.origin.as_ref().unwrap_or(from);
             dispatcher.on_message(now, writer, message.term, &message.body, &mut outputs);
-            self.carry_out_dispatch(now, service, outputs, out);
+            self.handle_dispatcher_outputs(now, service, outputs, out);
         } else if !is_own_share && message.origin.is_none() {
             self.forward(now, from, message, out);
         }
     }
 
-    /// Passes a message on to the holder of its pool's lease, once.
+    /// Forwards a message to the holder of its pool's lease; a message is forwarded at most once.
     ///
-    /// Instances of other failure domains do not hear who holds a lease here; they write to any
-    /// instance that might and learn the holder from its answer.
+    /// Instances of other failure domains are not told who holds a lease here. They send to any
+    /// instance that may hold it, and learn the holder from the reply.
     fn forward(
         &mut self,
         now: Millis,
@@ -170,7 +171,7 @@
         }
     }
 
-    pub(super) fn carry_out_dispatch(
+    pub(super) fn handle_dispatcher_outputs(
         &mut self,
         now: Millis,
         service: &Service,
@@ -213,17 +214,18 @@
         }
     }
 
-    /// Guesses who holds a lease in another failure domain; another guess each few seconds.
+    /// Guesses which instance holds a lease in another failure domain; the guess changes every
+    /// [`LEASE`].
     pub(super) fn guess_holder(
         &self,
         now: Millis,
         service: &Service,
         domain: &FailureDomain,
     ) -> Option<Instance> {
-        let ranked = ranking(service.as_str(), residents(&self.settings, domain));
-        let turn = now.0 / LEASE.0;
+        let ranked = ranking(service.as_str(), entries_in_domain(&self.settings, domain));
+        let round = now.0 / LEASE.0;
         let count = ranked.len().max(1) as u64;
-        ranked.get(usize::try_from(turn % count).unwrap_or(0)).cloned()
+        ranked.get(usize::try_from(round % count).unwrap_or(0)).cloned()
     }
 
     pub(super) fn on_listed(
@@ -239,14 +241,14 @@
         }
         if let Some(share) = self.shares.get_mut(service) {
             let names = listing.iter().map(|listed| listed.upstream.clone());
-            let owners = static_shares(names, &residents(&self.settings, &self.domain));
+            let owners = static_shares(names, &entries_in_domain(&self.settings, &self.domain));
             let is_own = |listed: &&Listed| {
                 owners.get(&listed.upstream).is_some_and(|i| *i == self.settings.instance)
             };
             let own: Vec<Listed> = listing.iter().filter(is_own).cloned().collect();
             share.on_listing(now, &own, &mut outputs);
         }
-        self.carry_out_dispatch(now, service, outputs, out);
+        self.handle_dispatcher_outputs(now, service, outputs, out);
     }
 
     fn update_watch(&mut self, out: &mut Vec<Output>) {
@@ -258,8 +260,8 @@
         }
     }
 
-    /// Begins and ends static shares.
-    pub(super) fn keep_shares(&mut self, now: Millis, out: &mut Vec<Output>) {
+    /// Starts and stops static shares according to whether each service has a dispatcher.
+    pub(super) fn update_shares(&mut self, now: Millis, out: &mut Vec<Output>) {
         if self.entry.is_none() {
             return;
         }
@@ -268,22 +270,28 @@
             let may_be_held =
                 self.leases.as_ref().is_some_and(|leases| leases.may_be_held(now, &service));
             let since = if may_be_held {
-                self.homeless.remove(&service);
+                self.without_dispatcher.remove(&service);
                 None
             } else {
-                Some(*self.homeless.entry(service.clone()).or_insert(now))
+                Some(*self.without_dispatcher.entry(service.clone()).or_insert(now))
             };
             let wanted = self.settings.static_shares
-                || since.is_some_and(|since| now.since(since) >= FALLBACK_AFTER);
+                || since.is_some_and(|since| now.since(since) >= FALLBACK_DELAY);
             if wanted != self.shares.contains_key(&service) {
-                self.set_share(now, &service, wanted, out);
+                self.set_share_active(now, &service, wanted, out);
             }
         }
-        self.fit_shares(now);
+        self.refresh_shares(now);
         self.update_watch(out);
     }
 
-    fn set_share(&mut self, now: Millis, service: &Service, active: bool, out: &mut Vec<Output>) {
+    fn set_share_active(
+        &mut self,
+        now: Millis,
+        service: &Service,
+        active: bool,
+        out: &mut Vec<Output>,
+    ) {
         out.push(Output::Decided(Decision::Fallback { service: service.clone(), active }));
         if !active {
             self.shares.remove(service);
@@ -295,15 +303,16 @@
         self.shares.insert(service.clone(), share);
     }
 
-    /// Returns which of an upstream's slots are this entry's by static share.
+    /// Returns how many of an upstream's slots this entry may use under its static share.
     fn share_slots(&self, now: Millis, whole: SlotLimits) -> SlotLimits {
         let Some(leases) = &self.leases else { return whole };
-        // A dispatcher on the other side of a cut keeps back no more.
+        // If the other voters can form a majority, a dispatcher may run on the other side of a
+        // network partition. It reserves no more than the static part for this entry.
         let own = if leases.may_be_outvoted(now) { whole.static_part() } else { whole.cold };
         SlotLimits { cold: own, warm: own }
     }
 
-    /// Returns the document of a service with the slots that are this entry's by static share.
+    /// Returns the document of a service with the slot limits of this entry's static share.
     fn share_document(&self, now: Millis, service: &Service) -> Option<Document> {
         let in_force = self.view.documents().get(service)?;
         let mut document = (*in_force.document).clone();
@@ -311,8 +320,8 @@
         Some(document)
     }
 
-    /// Takes over changed documents into static shares.
-    pub(super) fn renew_shares(&mut self, now: Millis) {
+    /// Updates the documents of the static shares.
+    pub(super) fn reload_share_documents(&mut self, now: Millis) {
         let services: Vec<Service> = self.shares.keys().cloned().collect();
         for service in services {
             let document = self.share_document(now, &service);
@@ -322,15 +331,16 @@
         }
     }
 
-    /// Fits static shares to what is known of the others.
-    fn fit_shares(&mut self, now: Millis) {
+    /// Updates the static shares if their slot limits have changed with what is known of the other
+    /// voters.
+    fn refresh_shares(&mut self, now: Millis) {
         let documents = self.view.documents();
-        let is_fit = |(service, share): (&Service, &Dispatcher)| {
+        let is_current = |(service, share): (&Service, &Dispatcher)| {
             let in_force = documents.get(service);
             in_force.is_none_or(|d| self.share_slots(now, d.document.slots) == share.slot_limits())
         };
-        if !self.shares.iter().all(is_fit) {
-            self.renew_shares(now);
+        if !self.shares.iter().all(is_current) {
+            self.reload_share_documents(now);
         }
     }
 
@@ -344,7 +354,7 @@
             if let Some(share) = self.shares.get_mut(&service) {
                 share.tick(now, &mut outputs);
             }
-            self.carry_out_dispatch(now, &service, outputs, out);
+            self.handle_dispatcher_outputs(now, &service, outputs, out);
         }
     }
 }
--- a/src/kingcupgrade/coordination/node/record.rs
+++ b/src/kingcupgrade/coordination/node/record.rs
@@ -1,4 +1,4 @@
-//! The record: this instance's replica, and its dealings with the leader's.
+//! The durable record: this instance's replica, and its client of the control instances.
 
 use super::{Awaited, Node, Output};
 use crate::{
@@ -90,14 +90,14 @@
                 dispatcher.set_document(&in_force.document);
             }
         }
-        self.renew_shares(now);
+        self.reload_share_documents(now);
         for service in &services {
-            self.set_standing(service);
+            self.update_availability(service);
         }
         if let Some(leases) = &mut self.leases {
             leases.set_services(services);
         }
-        self.keep_shares(now, out);
+        self.update_shares(now, out);
         out.push(Output::ViewChanged);
     }
 
--- a/src/kingcupgrade/coordination/node/requests.rs
+++ b/src/kingcupgrade/coordination/node/requests.rs
@@ -1,7 +1,7 @@
-//! Callers' requests: from arrival over the claim of a request key to the end.
+//! Callers' requests: arrival, claim of the request key, attempts and settlement.
 
 use super::{
-    Awaited, CLAIM_PATIENCE, CLAIM_SLACK, ClaimState, KeyedRequest, Node, Output, SETTLE_PATIENCE,
+    Awaited, CLAIM_MARGIN, CLAIM_TIMEOUT, ClaimState, KeyedRequest, Node, Output, SETTLE_TIMEOUT,
     other_domains,
 };
 use crate::{
@@ -45,7 +45,7 @@
         self.ensure_sessions(now, &service, out);
     }
 
-    /// Makes sure that whoever may serve a service knows of the demand here.
+    /// Opens or keeps the sessions that report this entry's demand for a service to its dispatcher.
     pub(super) fn ensure_sessions(
         &mut self,
         now: Millis,
@@ -74,15 +74,20 @@
         if self.settings.static_shares {
             return;
         }
-        let homeless =
+        let lacks_dispatcher =
             self.entry.as_mut().is_some_and(|entry| entry.note_home(now, service, has_holder));
-        if homeless && self.view.is_fresh(now) {
-            self.ask_elsewhere(now, service, out);
+        if lacks_dispatcher && self.view.is_fresh(now) {
+            self.request_from_other_domains(now, service, out);
         }
     }
 
-    /// Takes demand to the other failure domains, since none can be served here.
-    fn ask_elsewhere(&mut self, now: Millis, service: &Service, out: &mut Vec<Output>) {
+    /// Opens sessions in the other failure domains, since the pool here has no dispatcher.
+    fn request_from_other_domains(
+        &mut self,
+        now: Millis,
+        service: &Service,
+        out: &mut Vec<Output>,
+    ) {
         for domain in other_domains(&self.settings, &self.domain) {
             if self.view.is_out(&domain) {
                 continue;
@@ -128,9 +133,9 @@
             id: claim.id,
             key: claim.keyed.key.clone(),
             digest: claim.keyed.digest,
-            span: deadline + CLAIM_SLACK,
+            span: deadline + CLAIM_MARGIN,
         };
-        let proposal = self.client.propose(now, command, CLAIM_PATIENCE);
+        let proposal = self.client.propose(now, command, CLAIM_TIMEOUT);
         self.awaited.insert(proposal, Awaited::Claim(id));
     }
 
@@ -163,14 +168,15 @@
         if let Some(claim) = self.claims.get_mut(&id) {
             claim.claimed = result.is_ok();
         }
-        // A claim whose answer never came may be in the record all the same. Nothing was sent, so
-        // it is released; otherwise the caller's next try would be told that it may have run.
-        let lost = result == Err(Code::NoQuorum);
-        let mut unwanted = false;
+        // A claim may have been committed although its reply was lost. The request was not sent,
+        // so the claim is released; otherwise the caller's retry would be refused as a request
+        // that may have run.
+        let is_unconfirmed = result == Err(Code::NoQuorum);
+        let mut is_unused = false;
         self.run_entry(now, out, |entry, _, outputs| {
-            unwanted = entry.on_claimed(now, id, result, outputs);
+            is_unused = entry.on_claimed(now, id, result, outputs);
         });
-        if unwanted || lost {
+        if is_unused || is_unconfirmed {
             self.settle(now, id, Settlement::Released);
         } else if result.is_err() {
             self.claims.remove(&id);
@@ -180,7 +186,7 @@
     fn settle(&mut self, now: Millis, id: RequestId, settlement: Settlement) {
         let Some(claim) = self.claims.remove(&id) else { return };
         let command = Command::Settle { id: claim.id, key: claim.keyed.key, settlement };
-        let proposal = self.client.propose(now, command, SETTLE_PATIENCE);
+        let proposal = self.client.propose(now, command, SETTLE_TIMEOUT);
         self.awaited.insert(proposal, Awaited::Settle);
     }
 
@@ -195,8 +201,8 @@
         answer: Option<KeptAnswer>,
         out: &mut Vec<Output>,
     ) {
-        let mut given_up = Vec::new();
-        self.run_entry(now, &mut given_up, |entry, _, outputs| {
+        let mut entry_outputs = Vec::new();
+        self.run_entry(now, &mut entry_outputs, |entry, _, outputs| {
             entry.on_attempt_end(now, id, end, cost, first_byte_ms, outputs);
         });
         let is_open = self.entry.as_ref().is_some_and(|entry| entry.is_open(id));
@@ -211,18 +217,18 @@
         } else if !is_open {
             self.claims.remove(&id);
         }
-        if !is_open && given_up.is_empty() {
+        if !is_open && entry_outputs.is_empty() {
             out.push(Output::Finished(id));
         }
-        out.append(&mut given_up);
+        out.append(&mut entry_outputs);
     }
 
     pub(super) fn on_hang_up(&mut self, now: Millis, id: RequestId) {
         if let Some(entry) = &mut self.entry {
             entry.on_hang_up(id);
         }
-        // A claim under way is released when its answer comes; one that holds but was not sent
-        // yet is released now.
+        // A claim in progress is released when its reply arrives. One that is committed, but whose
+        // request was not sent, is released now.
         if self.claims.get(&id).is_some_and(|claim| claim.claimed) {
             self.settle(now, id, Settlement::Released);
         }
