--- a/src/kingcupgrade/coordination/client.rs
+++ b/src/kingcupgrade/coordination/client.rs
@@ -1,7 +1,7 @@
-//! An instance's dealings with the record: pulling the configuration, proposing changes.
+//! A client of the control instances, which pulls the configuration and proposes changes.
 //!
-//! Proposals carry names of their own (change ids, claim ids), so sending one again after a lost
-//! answer changes nothing twice. That is what lets this client retry freely.
+//! Proposals are idempotent: each carries an identifier of its own (a change id or a claim id), so
+//! a resend after a lost reply has no further effect. The client can therefore retry freely.
 
 use std::collections::BTreeMap;
 
@@ -12,21 +12,23 @@
     util::rendezvous::ranking,
 };
 
-/// How often the configuration is pulled.
+/// The interval between pulls of the configuration.
 const PULL_INTERVAL: Millis = Millis(800);
-/// How often, while none is known: callers are refused until one is.
+/// The interval while no configuration is known; callers are refused until there is one.
 const FIRST_PULL_INTERVAL: Millis = Millis(100);
-/// A control instance that has not answered the first pulls for this long is passed over.
+/// The timeout of a pull while no configuration is known; the next control instance is tried after
+/// it.
 const FIRST_PULL_TIMEOUT: Millis = Millis(250);
-/// A control instance that has not answered a pull for this long is passed over.
+/// The timeout of a pull; the next control instance is tried after it.
 const PULL_TIMEOUT: Millis = Millis(1_000);
-/// So is one that knows of nothing later from the leader: it may be cut off from the others, and
-/// what they accept meanwhile has to be in force here as soon as elsewhere.
-const SOURCE_FRESHNESS: Millis = Millis(4 * HEARTBEAT.0);
-/// A proposal not answered for this long is sent to the next control instance.
-const RESEND_AFTER: Millis = Millis(700);
-/// The pause before a proposal is sent again when nobody is known to lead.
-const NO_LEADER_PAUSE: Millis = Millis(150);
+/// A control instance whose state was confirmed longer ago than this is skipped too. It may be
+/// partitioned from the leader, and changes committed meanwhile must come into force here as soon
+/// as elsewhere.
+const MAX_SOURCE_AGE: Millis = Millis(4 * HEARTBEAT.0);
+/// A proposal without a reply for this long is sent to the next control instance.
+const RESEND_DELAY: Millis = Millis(700);
+/// The delay before a proposal is resent when no leader is known.
+const NO_LEADER_DELAY: Millis = Millis(150);
 
 #[derive(Clone, Debug)]
 struct Proposal {
@@ -36,32 +38,33 @@
     deadline: Millis,
 }
 
-/// The state of the client.
+/// A client of the record.
 #[derive(Clone, Debug)]
 pub struct RecordClient {
     own: Instance,
-    /// In an order of this instance's own. In the same order for all, those that leave one control
-    /// instance would all go to the same next one, and in the end the whole fleet would know no
-    /// more than that one does.
+    /// The control instances, in an order specific to this instance. If the order were the same for
+    /// all, instances that leave one control instance would all move to the same next one, until
+    /// the whole fleet depended on it.
     controls: Vec<Instance>,
     neighbours: Vec<Instance>,
-    /// The place among `controls` that proposals go to.
+    /// The index in `controls` of the instance that proposals are sent to.
     target: usize,
-    /// The place among `controls` that pulls go to.
+    /// The index in `controls` of the instance that pulls are sent to.
     source: usize,
     next_id: u64,
     proposals: BTreeMap<u64, Proposal>,
     next_pull: Millis,
-    /// The pull not answered yet: whom, when.
-    asked: Option<(Instance, Millis)>,
+    /// The control instance of the outstanding pull, and when it was sent.
+    outstanding: Option<(Instance, Millis)>,
     pulls: usize,
-    /// Control instances that were passed over since one was last found to be good.
-    passed_over: usize,
+    /// The number of control instances skipped since one last returned a state that is recent
+    /// enough.
+    skipped: usize,
 }
 
 impl RecordClient {
-    /// Makes the client of instance `own` of the given control instances; `neighbours` are asked as
-    /// well while the configuration is not confirmed.
+    /// Creates the client of instance `own`; `neighbours` are pulled from as well while the
+    /// configuration is not confirmed.
     pub fn new(
         own: &Instance,
         controls: impl IntoIterator<Item = Instance>,
@@ -76,100 +79,101 @@
             next_id: 1,
             proposals: BTreeMap::new(),
             next_pull: Millis::ZERO,
-            asked: None,
+            outstanding: None,
             pulls: 0,
-            passed_over: 0,
+            skipped: 0,
         }
     }
 
-    /// Replaces the instances that are asked, going on with the same ones where they are still
-    /// there.
+    /// Replaces the control instances and neighbours, and keeps the current target and source if
+    /// they are still among them.
     pub fn set_instances(
         &mut self,
         controls: impl IntoIterator<Item = Instance>,
         neighbours: Vec<Instance>,
     ) {
         let controls = ranking(self.own.as_str(), controls);
-        let place = |of: usize, controls: &[Instance], known: &[Instance]| {
+        let position = |of: usize, controls: &[Instance], known: &[Instance]| {
             let instance = known.get(of);
-            let place = instance.and_then(|i| controls.iter().position(|control| control == i));
-            place.unwrap_or(of % controls.len().max(1))
+            let position = instance.and_then(|i| controls.iter().position(|control| control == i));
+            position.unwrap_or(of % controls.len().max(1))
         };
-        self.target = place(self.target, &controls, &self.controls);
-        self.source = place(self.source, &controls, &self.controls);
+        self.target = position(self.target, &controls, &self.controls);
+        self.source = position(self.source, &controls, &self.controls);
         self.controls = controls;
         self.neighbours = neighbours;
     }
 
-    /// Returns the control instance that is asked for the configuration.
+    /// Returns the control instance that the configuration is pulled from.
     pub fn source(&self) -> Option<&Instance> {
         self.controls.get(self.source)
     }
 
     /// Starts a proposal and returns its number.
-    pub fn propose(&mut self, now: Millis, command: Command, patience: Millis) -> u64 {
+    pub fn propose(&mut self, now: Millis, command: Command, timeout: Millis) -> u64 {
         let id = self.next_id;
         self.next_id += 1;
         let proposal =
-            Proposal { command, send_at: now, sent_once: false, deadline: now + patience };
+            Proposal { command, send_at: now, sent_once: false, deadline: now + timeout };
         self.proposals.insert(id, proposal);
         id
     }
 
-    /// Notes a state that arrived from `from`, which was the newest at `confirmed`, if that is known.
+    /// Handles a state received from `from`; `confirmed` is when it was confirmed to be current, if
+    /// that is known.
     ///
-    /// One that is too old, or vouches for nothing, makes the next control instance be asked: soon,
-    /// until each was asked in turn.
+    /// If it was confirmed too long ago or not at all, the client moves on to the next control
+    /// instance. It pulls from that one soon, until each one has been tried.
     pub fn on_state(&mut self, now: Millis, from: &Instance, confirmed: Option<Millis>) {
-        if self.asked.as_ref().is_none_or(|(instance, _)| instance != from) {
+        if self.outstanding.as_ref().is_none_or(|(instance, _)| instance != from) {
             return;
         }
-        self.asked = None;
-        if confirmed.is_some_and(|confirmed| now.since(confirmed) <= SOURCE_FRESHNESS) {
-            self.passed_over = 0;
+        self.outstanding = None;
+        if confirmed.is_some_and(|confirmed| now.since(confirmed) <= MAX_SOURCE_AGE) {
+            self.skipped = 0;
             return;
         }
-        self.pass_over();
-        if self.passed_over < self.controls.len() {
+        self.skip_source();
+        if self.skipped < self.controls.len() {
             self.next_pull = self.next_pull.min(now + FIRST_PULL_INTERVAL);
         } else {
-            self.passed_over = 0;
+            self.skipped = 0;
         }
     }
 
-    fn pass_over(&mut self) {
-        self.passed_over += 1;
+    fn skip_source(&mut self) {
+        self.skipped += 1;
         self.source = (self.source + 1) % self.controls.len().max(1);
     }
 
     /// Handles the answer to a proposal; returns it if the proposal was still open.
     pub fn on_answer(&mut self, now: Millis, id: u64, reply: Reply) -> Option<Reply> {
-        // A leader that has lost the lead, or its disk, says nothing about the change itself.
-        let elsewhere =
+        // These errors concern the instance and not the change: it lost leadership or its disk.
+        let is_instance_error =
             |err: &CodedError| matches!(err.code, Code::NotLeader | Code::StorageFailed);
-        if matches!(&reply, Reply::Refused(err) if elsewhere(err)) {
+        if matches!(&reply, Reply::Refused(err) if is_instance_error(err)) {
             self.on_redirect(now, id, None);
             return None;
         }
         self.proposals.remove(&id).map(|_| reply)
     }
 
-    /// Handles the word that another instance leads.
+    /// Handles a redirect to another instance, or to an unknown leader.
     pub fn on_redirect(&mut self, now: Millis, id: u64, leader: Option<&Instance>) {
-        let place = leader.and_then(|l| self.controls.iter().position(|control| control == l));
-        let pause = match place {
-            Some(place) if place != self.target => {
-                self.target = place;
+        let position = leader.and_then(|l| self.controls.iter().position(|control| control == l));
+        let delay = match position {
+            Some(position) if position != self.target => {
+                self.target = position;
                 Millis::ZERO
             }
-            Some(_) => NO_LEADER_PAUSE,
+            Some(_) => NO_LEADER_DELAY,
             None => {
                 self.rotate_target();
-                NO_LEADER_PAUSE
+                NO_LEADER_DELAY
             }
         };
         if let Some(proposal) = self.proposals.get_mut(&id) {
-            proposal.send_at = now + pause;
+            proposal.send_at = now + delay;
             proposal.sent_once = false;
         }
     }
@@ -178,11 +182,12 @@
         self.target = (self.target + 1) % self.controls.len().max(1);
     }
 
-    /// Asks for the configuration when it is time to.
+    /// Pulls the configuration when a pull is due.
     ///
-    /// What is not confirmed may be old, however new it was to this instance: after a restart
-    /// beside nobody but an isolated control instance it has that one's word only. A neighbour may
-    /// know better, and one question could be lost, so neighbours are asked until it is confirmed.
+    /// A configuration that is not confirmed may be stale even if it was just received: after a
+    /// restart, the only reachable control instance may be partitioned from the others. A neighbour
+    /// may have a newer one, and a single pull could be lost, so neighbours are pulled from until
+    /// the configuration is confirmed.
     pub fn pull(
         &mut self,
         now: Millis,
@@ -190,24 +195,24 @@
         is_confirmed: bool,
         out: &mut Vec<(Instance, RecordMessage)>,
     ) {
-        let (interval, patience) = match have {
+        let (interval, timeout) = match have {
             0 => (FIRST_PULL_INTERVAL, FIRST_PULL_TIMEOUT),
             _ => (PULL_INTERVAL, PULL_TIMEOUT),
         };
-        if let Some((_, asked)) = &self.asked
-            && now.since(*asked) > patience
+        if let Some((_, asked)) = &self.outstanding
+            && now.since(*asked) > timeout
         {
-            self.asked = None;
-            self.pass_over();
+            self.outstanding = None;
+            self.skip_source();
             self.next_pull = now;
         }
-        if now < self.next_pull || self.asked.is_some() {
+        if now < self.next_pull || self.outstanding.is_some() {
             return;
         }
         self.next_pull = now + interval;
         self.pulls += 1;
         if let Some(control) = self.source().cloned() {
-            self.asked = Some((control.clone(), now));
+            self.outstanding = Some((control.clone(), now));
             out.push((control, RecordMessage::Pull { have, asked: now }));
         }
         if !is_confirmed && !self.neighbours.is_empty() {
@@ -216,7 +221,7 @@
         }
     }
 
-    /// Sends the proposals that are new or unanswered for long.
+    /// Sends new proposals, and resends those without a reply for `RESEND_DELAY`.
     pub fn send_proposals(&mut self, now: Millis, out: &mut Vec<(Instance, RecordMessage)>) {
         let due = |proposal: &Proposal| now >= proposal.send_at;
         let unanswered = self.proposals.values().any(|p| p.sent_once && due(p));
@@ -225,14 +230,15 @@
         }
         let Some(control) = self.controls.get(self.target).cloned() else { return };
         for (id, proposal) in self.proposals.iter_mut().filter(|(_, p)| due(p)) {
-            proposal.send_at = now + RESEND_AFTER;
+            proposal.send_at = now + RESEND_DELAY;
             proposal.sent_once = true;
             let command = proposal.command.clone();
             out.push((control.clone(), RecordMessage::Propose { id: *id, command }));
         }
     }
 
-    /// Gives up proposals whose time is over.
+    /// Removes proposals whose deadline has passed; the returned reply to each says that it is
+    /// unknown whether it was committed.
     pub fn give_up_overdue(&mut self, now: Millis) -> Vec<(u64, Reply)> {
         let overdue: Vec<u64> = self
             .proposals
@@ -240,11 +246,11 @@
             .filter(|(_, proposal)| now >= proposal.deadline)
             .map(|(id, _)| *id)
             .collect();
-        let give_up = |id: u64| {
+        let expire = |id: u64| {
             self.proposals.remove(&id);
-            let detail = "no answer from a leader of the control instances";
+            let detail = "no reply from a leader of the control instances";
             (id, Reply::Refused(CodedError::new(Code::CommitUnknown, detail)))
         };
-        overdue.into_iter().map(give_up).collect()
+        overdue.into_iter().map(expire).collect()
     }
 }
--- a/src/kingcupgrade/coordination/control.rs
+++ b/src/kingcupgrade/coordination/control.rs
@@ -1,4 +1,4 @@
-//! A control instance: a replica of the record, and its service to the other instances.
+//! A control instance: a replica of the record that serves the other instances.
 
 use std::collections::BTreeMap;
 
@@ -16,19 +16,19 @@
     },
 };
 
-/// Entries after which a snapshot is taken.
-const SNAPSHOT_EVERY: usize = 2_000;
-/// Bytes of configurations in the log after which a snapshot is taken: a tenth of a small disk.
+/// The number of log entries after which a snapshot is taken.
+const SNAPSHOT_ENTRIES: usize = 2_000;
+/// The bytes of configurations in the log after which a snapshot is taken: a tenth of a small disk.
 const SNAPSHOT_LEN: usize = 8 << 20;
-/// An instance that asked within this time is told of changes at once.
-const SUBSCRIPTION: Millis = Millis(5_000);
-/// Freshness older than this is not passed on: the instance can't reach a majority.
+/// How long after its last pull an instance is sent changes as they are applied.
+const SUBSCRIPTION_TTL: Millis = Millis(5_000);
+/// A confirmation older than this is not reported, since this instance can't reach a majority.
 const MAX_AGE: Millis = Millis(5_000);
 
-/// What a control instance wants done, in this order.
+/// An action the caller must carry out; outputs are ordered.
 #[derive(Clone, Debug)]
 pub enum ControlOutput {
-    /// Write to disk, synced before any later message leaves.
+    /// Write to disk and sync before any later message is sent.
     Persist(Persist),
     /// Send a message to an instance.
     Send(Instance, Message),
@@ -36,7 +36,7 @@
     SendToControls(ConsensusMessage),
 }
 
-/// A proposal whose entry is not final yet.
+/// A proposal whose entry is not committed yet.
 #[derive(Clone, Debug)]
 struct Pending {
     term: u64,
@@ -44,28 +44,31 @@
     id: u64,
 }
 
-/// The state of a control instance.
+/// The state machine of a control instance.
 #[derive(Clone, Debug)]
 pub struct ControlMachine {
     consensus: Consensus,
     record: Record,
+    /// Pending proposals, by the index of their entry.
     pending: BTreeMap<u64, Pending>,
-    /// What each asking instance has, and when it asked.
+    /// When each instance last pulled, and the index that it has.
     subscribers: BTreeMap<Instance, (Millis, u64)>,
-    told_index: u64,
+    /// The index of the last change sent to the subscribers.
+    notified_index: u64,
     failed: Option<CodedError>,
-    /// How many voters a record that repairs itself has; `None` where operators decide.
+    /// The number of voters that automatic repair aims for; `None` if operators change the members.
     voter_target: Option<usize>,
     /// Bytes of configurations applied since the last snapshot.
     applied_len: usize,
 }
 
 impl ControlMachine {
-    /// Makes a control instance from what its disk held.
+    /// Creates a control instance from its stored state.
     ///
     /// # Errors
     ///
-    /// Returns [`Code::DataCorrupt`](crate::core::Code::DataCorrupt) if the snapshot can't be read.
+    /// Returns [`Code::DataCorrupt`](crate::core::Code::DataCorrupt) if the snapshot can't be
+    /// decoded.
     pub fn new(
         now: Millis,
         id: crate::protocol::consensus::ReplicaId,
@@ -73,41 +76,41 @@
         seed: u64,
     ) -> Result<ControlMachine, CodedError> {
         let record = Record::decode(&stored.log.snapshot().data)?;
-        let told_index = record.index();
+        let notified_index = record.index();
         Ok(ControlMachine {
             consensus: Consensus::new(now, id, stored, seed),
             record,
             pending: BTreeMap::new(),
             subscribers: BTreeMap::new(),
-            told_index,
+            notified_index,
             failed: None,
             voter_target: None,
             applied_len: 0,
         })
     }
 
-    /// Lets the record repair its members by itself, up to this many voters.
+    /// Enables automatic repair of the members, with `target` voters.
     pub fn set_voter_target(&mut self, target: usize) {
         self.voter_target = Some(target);
         self.consensus.set_voter_target(target);
     }
 
-    /// Takes the next step towards voters that live, where operators don't decide.
+    /// Proposes the next membership change if automatic repair is enabled.
     pub fn repair_members(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<ControlOutput>) {
         let Some(target) = self.voter_target.filter(|_| self.failed.is_none()) else { return };
         let mut outputs = Vec::new();
         self.consensus.repair_members(now, unix_ms, target, &mut outputs);
-        self.carry_out(outputs, out);
+        self.handle_outputs(outputs, out);
     }
 
-    /// Hands the lead over before the process stops.
+    /// Transfers leadership before the process stops.
     pub fn hand_over(&mut self, out: &mut Vec<ControlOutput>) {
         let mut outputs = Vec::new();
         self.consensus.hand_over(&mut outputs);
-        self.carry_out(outputs, out);
+        self.handle_outputs(outputs, out);
     }
 
-    /// Returns the replica.
+    /// Returns the consensus state machine.
     pub fn consensus(&self) -> &Consensus {
         &self.consensus
     }
@@ -117,40 +120,41 @@
         &self.record
     }
 
-    /// Tells whether the replica is one of the record's members, as far as it knows.
+    /// Returns whether the replica is a member of the record, as far as its own log shows.
     pub fn is_member(&self) -> bool {
         self.consensus.members().iter().any(|member| member.id == *self.consensus.id())
     }
 
-    /// Returns the applied state, encoded, and the last entry it includes.
+    /// Returns the index of the last applied entry and the encoded applied state.
     pub fn backup(&mut self) -> (u64, Vec<u8>) {
         (self.consensus.applied(), self.record.encode())
     }
 
-    /// Stops taking part after the disk has failed.
+    /// Stops participating in consensus after a disk failure.
     pub fn on_storage_failed(&mut self, err: CodedError) {
         self.failed = Some(err);
     }
 
-    /// Returns why the replica has stopped taking part, if it has.
+    /// Returns the error because of which the replica stopped participating, if it did.
     pub fn failure(&self) -> Option<&CodedError> {
         self.failed.as_ref()
     }
 
-    /// Returns how long ago a majority confirmed the applied state, if that was of late.
+    /// Returns how long ago a majority confirmed the applied state, if no longer than `MAX_AGE`
+    /// ago.
     pub fn age(&self, now: Millis) -> Option<Millis> {
         self.consensus.age(now).filter(|age| *age <= MAX_AGE && self.failed.is_none())
     }
 
-    /// Handles the passing of time.
+    /// Advances the timers to `now`.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<ControlOutput>) {
         if self.failed.is_some() {
             return;
         }
-        self.subscribers.retain(|_, (asked, _)| now.since(*asked) <= SUBSCRIPTION);
+        self.subscribers.retain(|_, (asked, _)| now.since(*asked) <= SUBSCRIPTION_TTL);
         let mut outputs = Vec::new();
         self.consensus.tick(now, &mut outputs);
-        self.carry_out(outputs, out);
+        self.handle_outputs(outputs, out);
         self.flush(now, out);
     }
 
@@ -166,7 +170,7 @@
         }
         let mut outputs = Vec::new();
         self.consensus.on_message(now, message, &mut outputs);
-        self.carry_out(outputs, out);
+        self.handle_outputs(outputs, out);
     }
 
     /// Handles a message about the record.
@@ -203,7 +207,7 @@
         out: &mut Vec<ControlOutput>,
     ) {
         if let Some(err) = &self.failed {
-            answer(from, id, Reply::Refused(err.clone()), out);
+            send_reply(from, id, Reply::Refused(err.clone()), out);
             return;
         }
         if !self.consensus.is_leader() {
@@ -212,8 +216,8 @@
             out.push(ControlOutput::Send(from.clone(), Message::Record(redirect)));
             return;
         }
-        if let Err(err) = check(command) {
-            answer(from, id, Reply::Refused(err), out);
+        if let Err(err) = validate(command) {
+            send_reply(from, id, Reply::Refused(err), out);
             return;
         }
         let mut outputs = Vec::new();
@@ -234,12 +238,13 @@
                 let pending = Pending { term: self.consensus.term(), from: from.clone(), id };
                 self.pending.insert(index, pending);
             }
-            Err(err) => answer(from, id, Reply::Refused(err), out),
+            Err(err) => send_reply(from, id, Reply::Refused(err), out),
         }
-        self.carry_out(outputs, out);
+        self.handle_outputs(outputs, out);
     }
 
-    /// Sends what was proposed since the last call; many proposals share messages and one sync.
+    /// Sends the entries proposed since the last call, so that many proposals share messages and
+    /// one disk sync.
     pub fn flush(&mut self, now: Millis, out: &mut Vec<ControlOutput>) {
         if self.failed.is_some() {
             return;
@@ -250,12 +255,13 @@
         } else {
             self.redirect_pending(out);
         }
-        self.carry_out(outputs, out);
+        self.handle_outputs(outputs, out);
         self.snapshot_if_due(out);
-        self.tell_subscribers(out);
+        self.notify_subscribers(out);
     }
 
-    /// Sends proposers elsewhere after the lead was lost; their entries may still become final.
+    /// Redirects proposers to the new leader after leadership was lost. Their entries may still be
+    /// committed.
     fn redirect_pending(&mut self, out: &mut Vec<ControlOutput>) {
         let leader = self.consensus.leader().map(|leader| leader.0.clone());
         for (_, pending) in std::mem::take(&mut self.pending) {
@@ -264,7 +270,7 @@
         }
     }
 
-    fn carry_out(&mut self, outputs: Vec<ConsensusOutput>, out: &mut Vec<ControlOutput>) {
+    fn handle_outputs(&mut self, outputs: Vec<ConsensusOutput>, out: &mut Vec<ControlOutput>) {
         for output in outputs {
             match output {
                 ConsensusOutput::Persist(persist) => out.push(ControlOutput::Persist(persist)),
@@ -291,7 +297,7 @@
         let reply = self.record.apply(entry);
         let Some(pending) = self.pending.remove(&entry.index) else { return };
         if pending.term != entry.term {
-            // Another leader's entry took the place; the proposer asks again.
+            // Another leader's entry was committed at this index; the proposer resends its command.
             let redirect = RecordMessage::Redirect { id: pending.id, leader: None };
             out.push(ControlOutput::Send(pending.from, Message::Record(redirect)));
             return;
@@ -301,25 +307,25 @@
             (_, Some(reply)) => reply,
             (_, None) => return,
         };
-        answer(&pending.from, pending.id, reply, out);
+        send_reply(&pending.from, pending.id, reply, out);
     }
 
     fn snapshot_if_due(&mut self, out: &mut Vec<ControlOutput>) {
-        if self.consensus.log().len() < SNAPSHOT_EVERY && self.applied_len < SNAPSHOT_LEN {
+        if self.consensus.log().len() < SNAPSHOT_ENTRIES && self.applied_len < SNAPSHOT_LEN {
             return;
         }
         self.applied_len = 0;
         let data = self.record.encode();
         let mut outputs = Vec::new();
         self.consensus.compact(data, &mut outputs);
-        self.carry_out(outputs, out);
+        self.handle_outputs(outputs, out);
     }
 
-    fn tell_subscribers(&mut self, out: &mut Vec<ControlOutput>) {
-        if self.record.index() == self.told_index {
+    fn notify_subscribers(&mut self, out: &mut Vec<ControlOutput>) {
+        if self.record.index() == self.notified_index {
             return;
         }
-        self.told_index = self.record.index();
+        self.notified_index = self.record.index();
         for (instance, (_, have)) in &self.subscribers {
             let state = self.record.state_since(*have, None, None);
             out.push(ControlOutput::Send(instance.clone(), Message::Record(state)));
@@ -327,8 +333,8 @@
     }
 }
 
-/// Checks what a command carries before it takes a place in the record.
-fn check(command: &Command) -> Result<(), CodedError> {
+/// Validates the content of a command before it is appended to the log.
+fn validate(command: &Command) -> Result<(), CodedError> {
     match command {
         Command::ApplyDocument { text, .. } => Document::parse(text).map(|_| ()),
         Command::Order { setup, .. } => setup.check(),
@@ -336,7 +342,7 @@
     }
 }
 
-fn answer(to: &Instance, id: u64, reply: Reply, out: &mut Vec<ControlOutput>) {
+fn send_reply(to: &Instance, id: u64, reply: Reply, out: &mut Vec<ControlOutput>) {
     let message = Message::Record(RecordMessage::Answer { id, reply });
     out.push(ControlOutput::Send(to.clone(), message));
 }
--- a/src/kingcupgrade/coordination/mod.rs
+++ b/src/kingcupgrade/coordination/mod.rs
@@ -1,8 +1,8 @@
-//! Decisions of the fleet as state machines without I/O.
+//! The fleet's decision logic, as state machines without I/O.
 //!
-//! A machine is driven by inputs and the time they arrive at, and answers with outputs. It owns no
-//! clock, thread, socket or random source, so a test, a fuzzer or an embedding program can drive
-//! it message by message. This layer does not import `transport`.
+//! A state machine takes inputs with their time of arrival and returns outputs. It owns no clock,
+//! thread, socket or random source, so a test, a fuzzer or an embedding program can drive it
+//! message by message. This layer does not import `transport`.
 
 pub mod client;
 pub mod consensus;
