--- a/src/kingcupgrade/coordination/decision.rs
+++ b/src/kingcupgrade/coordination/decision.rs
@@ -1,14 +1,14 @@
-//! The decisions that get a line in the log.
+//! Decisions that are written to the log.
 
 use serde::Serialize;
 
 use crate::core::{Code, FailureDomain, Instance, Millis, Organisation, Service, UpstreamName};
 
-/// A routing or placement decision and its reason.
+/// A routing or placement decision and the reason for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "decision", rename_all = "kebab-case")]
 pub enum Decision {
-    /// A dispatcher gave a slot.
+    /// A dispatcher granted a slot of an upstream.
     Grant {
         /// The service.
         service: Service,
@@ -18,17 +18,17 @@
         term: u64,
         /// The number of the grant within the term.
         grant: u64,
-        /// Who was owed the slot.
+        /// The organisation that the slot is for.
         organisation: Organisation,
-        /// Their counter when chosen, the least among the backlogged.
+        /// The organisation's counter when it was selected, the lowest among backlogged ones.
         counter: i64,
-        /// The entry with most of their requests waiting.
+        /// The entry with the most waiting requests of the organisation.
         entry: Instance,
-        /// The upstream with most room.
+        /// The upstream with the most free slots.
         upstream: UpstreamName,
-        /// Its grants in use, this one included.
+        /// The upstream's grants in use, including this one.
         in_flight: u32,
-        /// Its limit.
+        /// The upstream's slot limit.
         limit: u32,
     },
     /// An entry sent a request to an upstream.
@@ -37,107 +37,108 @@
         request: u64,
         /// The service.
         service: Service,
-        /// Who asked.
+        /// The organisation of the caller.
         organisation: Organisation,
-        /// Where it goes.
+        /// The upstream that it was sent to.
         upstream: UpstreamName,
-        /// How many times it was sent before.
+        /// The number of earlier attempts.
         attempt: u32,
         /// How long it waited, in milliseconds.
         waited_ms: u64,
     },
-    /// An entry gave up on a request.
+    /// An entry refused a request.
     Refuse {
         /// The request.
         request: u64,
         /// The service.
         service: Service,
-        /// Who asked.
+        /// The organisation of the caller.
         organisation: Organisation,
-        /// Why.
+        /// The reason.
         code: Code,
     },
-    /// An entry will try a request again.
+    /// An entry will retry a request.
     Retry {
         /// The request.
         request: u64,
-        /// The upstream that failed it.
+        /// The upstream on which the last attempt failed.
         upstream: UpstreamName,
     },
-    /// An upstream's limit fell back to the cold one.
+    /// An upstream's limit was reset to the cold limit.
     Collapse {
         /// The service.
         service: Service,
         /// The upstream.
         upstream: UpstreamName,
-        /// The evidence.
+        /// The reason.
         reason: &'static str,
     },
-    /// Requests wait, and a dispatcher keeps slots back that no grant is using.
+    /// Requests are waiting while a dispatcher withholds slots that no grant is using.
     Withheld {
         /// The service.
         service: Service,
         /// The term of the lease.
         term: u64,
-        /// Organisations with requests that wait.
+        /// The number of organisations with waiting requests.
         backlogged: usize,
-        /// Whether the failure domain may get new work.
+        /// Whether the failure domain may get new requests.
         serving: bool,
-        /// The upstreams concerned.
+        /// The upstreams with withheld slots.
         upstreams: Vec<WithheldSlots>,
     },
-    /// This instance began to dispatch a pool.
+    /// This instance gained or lost the lease on dispatching a pool.
     Lease {
         /// The service.
         service: Service,
         /// The term.
         term: u64,
-        /// Whether the lease was gained or lost.
+        /// Whether the lease was gained; otherwise it was lost.
         held: bool,
     },
-    /// An order to an upstream went a step on.
+    /// An order to an upstream entered another stage or failed.
     Order {
         /// The service.
         service: Service,
         /// The upstream.
         upstream: UpstreamName,
-        /// The fencing number.
+        /// The fencing token.
         number: u64,
-        /// How far it is carried out.
+        /// The stage.
         stage: &'static str,
-        /// What went wrong last, if anything did.
+        /// The last failure, if any.
         failure: Option<String>,
     },
-    /// This instance began or ended to use its static share of a pool.
+    /// This instance started or stopped using its static share of a pool.
     Fallback {
         /// The service.
         service: Service,
-        /// Whether it began.
+        /// Whether it started; otherwise it stopped.
         active: bool,
     },
 }
 
-/// What is made of the slots of one upstream.
+/// The slots of one upstream that are in use or withheld.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct WithheldSlots {
     /// The upstream.
     pub upstream: UpstreamName,
-    /// How many slots it has at present.
+    /// The current slot limit.
     pub limit: u32,
-    /// Grants in use.
+    /// The number of grants in use.
     pub in_flight: u32,
-    /// Slots kept back for an entry that can't be heard.
+    /// Slots reserved for an entry that is unreachable and may use its static share.
     pub reserved: u32,
-    /// Requests that may run without a grant known here; `None` before the first report.
+    /// Requests that may be running without a grant known to this dispatcher; `None` before the
+    /// first load report.
     pub unaccounted: Option<u32>,
-    /// How long it is still left alone after trouble.
+    /// The remaining time during which it gets no requests after a failure.
     pub paused_ms: Millis,
-    /// Whether it gets nothing new, by the platform's word, an operator's, or an order.
+    /// Whether it gets no new requests because the platform, an operator or an order withdrew it.
     pub is_leaving: bool,
 }
 
 impl WithheldSlots {
-    /// Tells whether anything but grants in use takes slots.
+    /// Returns whether any slots are withheld, that is, unavailable without a grant using them.
     pub fn is_any(&self) -> bool {
         self.reserved > 0
             || self.unaccounted != Some(0)
--- a/src/kingcupgrade/coordination/orders.rs
+++ b/src/kingcupgrade/coordination/orders.rs
@@ -1,14 +1,14 @@
-//! Carrying out orders to the engines of one pool.
+//! Reconciles the engines of one pool with the orders in the record.
 //!
-//! Only the holder of the pool's lease orders, and only while its lease surely outlasts the
-//! attempt. That alone is not enough for an engine that ignores fencing numbers: an order of an
-//! earlier holder may be held up in the network and arrive after a later one. Engines are
-//! therefore read back again and again, and one that is not as the record wants it is ordered
-//! anew. An engine that checks numbers refuses the late order by itself.
+//! Only the holder of the pool's lease sends orders, and only while the rest of its lease is longer
+//! than an attempt can take. That is not enough for an engine that ignores fencing tokens: an order
+//! of an earlier holder may be delayed in the network and arrive after a later one. The setups of
+//! the engines are therefore polled, and an engine whose setup differs from its order is sent the
+//! order again. An engine that checks fencing tokens refuses the delayed order by itself.
 //!
-//! An engine gets no new requests from the moment its setup is about to change; it is ordered when
-//! it runs nothing any more; and it comes back as a cold one. In each pool one engine at a time
-//! changes, so that a model that can't be loaded costs one engine and not all.
+//! An engine gets no new requests from the time its setup is due to change. The order is sent once
+//! it runs no requests, and afterwards it is treated as cold. One engine per pool changes at a
+//! time, so that a model that can't be loaded takes only one engine out of service.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,23 +21,23 @@
     protocol::order::{EngineSetup, Setup, UpstreamOrder},
 };
 
-/// How long an engine may take to answer.
+/// The timeout of a request to an engine.
 pub const ANSWER_TIME: Millis = Millis(800);
-/// An order is sent only while the lease has this much left.
-const LEASE_LEFT: Millis = Millis(1_000);
-/// A new holder orders nothing for this long; orders of the one before have arrived by then, or
-/// are found by reading back.
-const QUIET: Millis = LEASE;
-/// How often an engine that changes is read back.
+/// The minimum time that must be left of the lease when an order is sent.
+const MIN_LEASE_LEFT: Millis = Millis(1_000);
+/// A new lease holder sends no orders for this long. Orders of the previous holder have arrived by
+/// then; one that is delayed longer is found by polling.
+const NEW_HOLDER_DELAY: Millis = LEASE;
+/// The polling interval of an engine that is changing.
 const CHANGING_INTERVAL: Millis = Millis(250);
-/// How often an engine that is as wanted is read back.
-const SETTLED_INTERVAL: Millis = Millis(5_000);
-/// The pause after an engine did not answer or refused.
-const RETRY_PAUSE: Millis = Millis(1_000);
-/// An answer that has not come by now never will: its thread is gone.
-const LOST_AFTER: Millis = Millis(3_000);
+/// The polling interval of an engine whose setup matches its order.
+const APPLIED_INTERVAL: Millis = Millis(5_000);
+/// The delay before a retry after an engine refused or did not answer.
+const RETRY_DELAY: Millis = Millis(1_000);
+/// A request without a result for this long is abandoned: the thread that sent it has ended.
+const ABANDON_AFTER: Millis = Millis(3_000);
 
-/// Names a question to an engine. The term tells questions of another holder's time apart.
+/// Identifies a request to an engine. The term distinguishes requests of different lease holders.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AskId {
     /// The service of the pool.
@@ -46,65 +46,65 @@
     pub upstream: UpstreamName,
     /// The term of the lease.
     pub term: u64,
-    /// The number of the question within the term.
+    /// The number of the request within the term.
     pub number: u64,
 }
 
-/// A question to an engine.
+/// A request to an engine.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// Its name.
+    /// The request's identifier.
     pub id: AskId,
-    /// Where the engine listens.
+    /// The engine's address.
     pub address: SocketAddr,
-    /// The order to give; `None` to read the setup.
+    /// The order to send; `None` to read the setup.
     pub order: Option<UpstreamOrder>,
-    /// An order not sent by then is not sent at all.
+    /// The time after which the order must not be sent any more.
     pub until: Millis,
 }
 
-/// What an engine answered.
+/// The result of a request to an engine.
 #[derive(Clone, Debug)]
 pub enum EngineAnswer {
-    /// Its setup.
+    /// The engine's setup.
     Setup(EngineSetup),
-    /// It took the order.
+    /// The engine accepted the order.
     Accepted,
-    /// It has seen a higher fencing number.
+    /// The engine has seen a higher fencing token.
     Outdated,
-    /// It does not know of orders.
+    /// The engine does not support orders.
     Unsupported,
-    /// It did not answer, or refused.
+    /// The engine refused or did not answer.
     Failed(String),
 }
 
-/// What the book wants done.
+/// An action the caller must carry out.
 #[derive(Clone, Debug)]
 pub enum OrderOutput {
-    /// Ask an engine.
+    /// Send a request to an engine.
     Ask(Ask),
-    /// Other engines than before may get no new requests; see [`OrderBook::held`].
+    /// The set of engines that may get no new requests changed; see [`OrderBook::held`].
     HeldChanged,
-    /// An engine has changed and is cold.
+    /// An engine's setup has changed, and it is cold.
     Changed(UpstreamName),
     /// Log a decision.
     Decided(Decision),
 }
 
-/// How far an order is carried out.
+/// The progress of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// The engine has not been read.
+    /// The engine's setup has not been read.
     Unread,
-    /// The engine is not as wanted and waits for its turn.
+    /// The engine's setup differs from the order; another engine may have to change first.
     Waiting,
-    /// The engine gets nothing new and is waited for.
-    Emptying,
-    /// The engine took the order and is not ready.
+    /// The engine gets no new requests and is finishing those it runs.
+    Draining,
+    /// The engine accepted the order and is not ready.
     Changing,
-    /// The engine is as wanted.
-    Settled,
-    /// The engine does not know of orders.
+    /// The engine's setup matches the order.
+    Applied,
+    /// The engine does not support orders.
     Unsupported,
 }
 
@@ -113,16 +113,16 @@
         match self {
             Stage::Unread => "not read yet",
             Stage::Waiting => "waiting for its turn",
-            Stage::Emptying => "finishing its requests",
+            Stage::Draining => "finishing its requests",
             Stage::Changing => "changing",
-            Stage::Settled => "as ordered",
+            Stage::Applied => "as ordered",
             Stage::Unsupported => "does not take orders",
         }
     }
 
-    /// Tells whether an engine's setup is under way to another.
+    /// Returns whether the engine's setup is about to change or changing.
     fn is_change(self) -> bool {
-        matches!(self, Stage::Emptying | Stage::Changing)
+        matches!(self, Stage::Draining | Stage::Changing)
     }
 }
 
@@ -132,48 +132,48 @@
     setup: Setup,
     stage: Stage,
     next: Millis,
-    /// The open question and when it was asked.
-    asked: Option<(u64, Millis)>,
+    /// The number of the outstanding request and when it was sent.
+    outstanding: Option<(u64, Millis)>,
     failure: Option<String>,
 }
 
-/// What the book needs to know of an engine to order it.
+/// The state of an engine that has an order.
 #[derive(Clone, Debug)]
 pub struct EngineState<'a> {
-    /// The order that stands.
+    /// The order in force.
     pub order: &'a UpstreamOrder,
-    /// Where it listens.
+    /// The engine's address.
     pub address: SocketAddr,
-    /// Whether it surely runs nothing.
+    /// Whether it is certain to run no requests.
     pub is_idle: bool,
 }
 
-/// The orders of one pool, while its lease is held.
+/// Reconciles the engines of one pool with their orders while the pool's lease is held.
 #[derive(Clone, Debug)]
 pub struct OrderBook {
     service: Service,
     term: u64,
-    born: Millis,
+    lease_began: Millis,
     engines: BTreeMap<UpstreamName, Progress>,
-    /// The held engines as last told of.
-    told: BTreeSet<UpstreamName>,
-    next_ask: u64,
+    /// The held engines at the last [`OrderOutput::HeldChanged`].
+    notified: BTreeSet<UpstreamName>,
+    next_request: u64,
 }
 
 impl OrderBook {
-    /// Makes the book of a holder whose lease began at `now`.
+    /// Creates the reconciler of a holder whose lease began at `now`.
     pub fn new(now: Millis, service: Service, term: u64) -> OrderBook {
         OrderBook {
             service,
             term,
-            born: now,
+            lease_began: now,
             engines: BTreeMap::new(),
-            told: BTreeSet::new(),
-            next_ask: 1,
+            notified: BTreeSet::new(),
+            next_request: 1,
         }
     }
 
-    /// Lists the engines that may get no new requests.
+    /// Returns the engines that may get no new requests.
     pub fn held(&self) -> impl Iterator<Item = &UpstreamName> {
         let is_held = |progress: &Progress| {
             progress.stage.is_change() || progress.setup.drained == Some(true)
@@ -181,7 +181,7 @@
         self.engines.iter().filter(move |(_, progress)| is_held(progress)).map(|(name, _)| name)
     }
 
-    /// Tells how far each order is carried out: its number, and words for people.
+    /// Returns the fencing token of each order and a readable description of its progress.
     pub fn stages(&self) -> impl Iterator<Item = (&UpstreamName, u64, String)> {
         self.engines.iter().map(|(name, progress)| {
             let stage = progress.stage.as_str();
@@ -191,8 +191,8 @@
         })
     }
 
-    /// Takes the next steps; `engines` are the listed ones with an order standing, and the lease
-    /// is held until `lease_until`.
+    /// Advances the orders; `engines` are the listed engines that have an order, and the lease is
+    /// held until `lease_until`.
     pub fn tick<'a>(
         &mut self,
         now: Millis,
@@ -203,25 +203,26 @@
         let engines: Vec<EngineState<'_>> = engines.into_iter().collect();
         self.engines.retain(|name, _| engines.iter().any(|e| e.order.upstream == *name));
         for engine in &engines {
-            self.take_in(now, engine.order);
+            self.accept_order(now, engine.order);
         }
-        let may_order = now >= self.born + QUIET && lease_until >= now + LEASE_LEFT;
+        let may_order =
+            now >= self.lease_began + NEW_HOLDER_DELAY && lease_until >= now + MIN_LEASE_LEFT;
         for engine in engines {
             self.step(now, may_order, &engine, out);
         }
-        self.tell_held(out);
+        self.notify_held(out);
     }
 
-    /// Tells of it if other engines are held than were told of last.
-    fn tell_held(&mut self, out: &mut Vec<OrderOutput>) {
-        if self.held().eq(&self.told) {
+    /// Emits [`OrderOutput::HeldChanged`] if the set of held engines has changed.
+    fn notify_held(&mut self, out: &mut Vec<OrderOutput>) {
+        if self.held().eq(&self.notified) {
             return;
         }
-        self.told = self.held().cloned().collect();
+        self.notified = self.held().cloned().collect();
         out.push(OrderOutput::HeldChanged);
     }
 
-    fn take_in(&mut self, now: Millis, order: &UpstreamOrder) {
+    fn accept_order(&mut self, now: Millis, order: &UpstreamOrder) {
         let known = self.engines.get_mut(&order.upstream);
         if known.as_ref().is_some_and(|progress| progress.index >= order.index) {
             return;
@@ -231,12 +232,12 @@
             setup: order.setup.clone(),
             stage: Stage::Unread,
             next: now,
-            asked: None,
+            outstanding: None,
             failure: None,
         };
-        // An engine that may be changing under the order before stays without requests.
+        // An engine that may be changing under the previous order still gets no new requests.
         if known.is_some_and(|before| before.stage.is_change()) {
-            progress.stage = Stage::Emptying;
+            progress.stage = Stage::Draining;
         }
         self.engines.insert(order.upstream.clone(), progress);
     }
@@ -252,45 +253,47 @@
         let another_changes =
             self.engines.iter().any(|(other, p)| other != name && p.stage.is_change());
         let Some(progress) = self.engines.get_mut(name) else { return };
-        if progress.asked.is_some_and(|(_, at)| now.since(at) > LOST_AFTER) {
-            progress.asked = None;
+        if progress.outstanding.is_some_and(|(_, at)| now.since(at) > ABANDON_AFTER) {
+            progress.outstanding = None;
         }
-        if progress.asked.is_some() || now < progress.next {
+        if progress.outstanding.is_some() || now < progress.next {
             return;
         }
         match progress.stage {
             Stage::Unsupported => {}
             Stage::Waiting if another_changes || !may_order => {}
             Stage::Waiting => {
-                progress.stage = Stage::Emptying;
-                self.decide(name, out);
+                progress.stage = Stage::Draining;
+                self.log_stage(name, out);
+            }
+            Stage::Draining if !may_order || !engine.is_idle => {}
+            Stage::Draining => self.send_request(now, engine, true, out),
+            Stage::Unread | Stage::Changing | Stage::Applied => {
+                self.send_request(now, engine, false, out)
             }
-            Stage::Emptying if !may_order || !engine.is_idle => {}
-            Stage::Emptying => self.ask(now, engine, true, out),
-            Stage::Unread | Stage::Changing | Stage::Settled => self.ask(now, engine, false, out),
         }
     }
 
-    fn ask(
+    fn send_request(
         &mut self,
         now: Millis,
         engine: &EngineState<'_>,
         is_order: bool,
         out: &mut Vec<OrderOutput>,
     ) {
-        let number = self.next_ask;
-        self.next_ask += 1;
+        let number = self.next_request;
+        self.next_request += 1;
         let upstream = engine.order.upstream.clone();
         if let Some(progress) = self.engines.get_mut(&upstream) {
-            progress.asked = Some((number, now));
+            progress.outstanding = Some((number, now));
         }
         let id = AskId { service: self.service.clone(), upstream, term: self.term, number };
         let order = is_order.then(|| engine.order.clone());
-        let until = now + LEASE_LEFT.since(ANSWER_TIME);
+        let until = now + MIN_LEASE_LEFT.since(ANSWER_TIME);
         out.push(OrderOutput::Ask(Ask { id, address: engine.address, order, until }));
     }
 
-    /// Handles an engine's answer.
+    /// Handles the result of a request to an engine.
     pub fn on_answer(
         &mut self,
         now: Millis,
@@ -299,28 +302,30 @@
         out: &mut Vec<OrderOutput>,
     ) {
         let Some(progress) = self.engines.get_mut(&id.upstream) else { return };
-        if id.term != self.term || progress.asked.is_none_or(|(number, _)| number != id.number) {
-            // Asked under another order or by another holder; it says nothing about this one.
+        if id.term != self.term
+            || progress.outstanding.is_none_or(|(number, _)| number != id.number)
+        {
+            // The request belongs to another order or another lease holder.
             return;
         }
-        progress.asked = None;
+        progress.outstanding = None;
         progress.failure = None;
         let before = progress.stage;
         match answer {
             EngineAnswer::Setup(setup) => {
-                let (stage, pause) = match (setup.is(&progress.setup), setup.ready) {
-                    (true, true) => (Stage::Settled, SETTLED_INTERVAL),
+                let (stage, delay) = match (setup.is(&progress.setup), setup.ready) {
+                    (true, true) => (Stage::Applied, APPLIED_INTERVAL),
                     (true, false) => (Stage::Changing, CHANGING_INTERVAL),
-                    // It was as ordered, or about to be, and strayed: what it answers now may be
-                    // of another model, so it gets nothing new and is no longer waited for in turn.
-                    (false, _) if before == Stage::Changing || before == Stage::Settled => {
-                        (Stage::Emptying, Millis::ZERO)
+                    // The engine left its ordered setup. Its answers may come from another model,
+                    // so it gets no new requests and does not wait for other engines to change.
+                    (false, _) if before == Stage::Changing || before == Stage::Applied => {
+                        (Stage::Draining, Millis::ZERO)
                     }
                     (false, _) => (Stage::Waiting, Millis::ZERO),
                 };
                 progress.stage = stage;
-                progress.next = now + pause;
-                if before.is_change() && stage == Stage::Settled {
+                progress.next = now + delay;
+                if before.is_change() && stage == Stage::Applied {
                     out.push(OrderOutput::Changed(id.upstream.clone()));
                 }
             }
@@ -329,24 +334,24 @@
                 progress.next = now;
             }
             EngineAnswer::Outdated => {
-                // A newer order is in force and has not come here yet.
+                // A newer order is in force that has not reached this instance yet.
                 progress.stage = Stage::Unread;
-                progress.next = now + RETRY_PAUSE;
+                progress.next = now + RETRY_DELAY;
                 progress.failure = Some("it has seen a newer order".to_owned());
             }
             EngineAnswer::Unsupported => progress.stage = Stage::Unsupported,
             EngineAnswer::Failed(err) => {
-                progress.next = now + RETRY_PAUSE;
+                progress.next = now + RETRY_DELAY;
                 progress.failure = Some(err);
             }
         }
         if progress.stage != before || progress.failure.is_some() {
-            self.decide(&id.upstream, out);
+            self.log_stage(&id.upstream, out);
         }
-        self.tell_held(out);
+        self.notify_held(out);
     }
 
-    fn decide(&self, upstream: &UpstreamName, out: &mut Vec<OrderOutput>) {
+    fn log_stage(&self, upstream: &UpstreamName, out: &mut Vec<OrderOutput>) {
         let Some(progress) = self.engines.get(upstream) else { return };
         out.push(OrderOutput::Decided(Decision::Order {
             service: self.service.clone(),
--- a/src/kingcupgrade/coordination/shutdown.rs
+++ b/src/kingcupgrade/coordination/shutdown.rs
@@ -1,35 +1,35 @@
-//! How an entry that is told to stop does so without cutting off a request.
+//! Graceful shutdown of an entry, without interrupting requests.
 //!
-//! The balancer learns only after a while that the entry is not ready, and sends callers until then.
-//! They are served, and connections are closed as they become idle. Ending the process while its
-//! listener is still open loses whoever connects in between: such a request is sent on, its upstream
-//! runs it, and the caller finds its connection closed. So the listener closes first, and the
-//! process ends only when nothing is open at a later look.
+//! The load balancer notices only after some time that the entry is not ready, and sends callers to
+//! it until then. They are served, and connections are closed as they become idle. If the process
+//! ended while its listener was open, a request that had just arrived could be sent to an upstream
+//! and run there while its caller finds the connection closed. The listener is therefore closed
+//! first, and the process ends only once a later check finds no open connections.
 
 use crate::core::Millis;
 
-/// How long an entry that stops says that it is not ready before it closes connections: the
-/// balancer asks once a second and believes the second answer.
-const NOTICE: Millis = Millis(2_600);
-/// The part of the grace time after which a process that stops ends whatever is still open.
-const GRACE_PART: f64 = 0.97;
+/// How long the entry reports that it is not ready before it closes idle connections. The load
+/// balancer checks readiness once a second and acts on the second failed check.
+const NOT_READY_NOTICE: Millis = Millis(2_600);
+/// The fraction of the grace period after which the process closes whatever is still open.
+const GRACE_FRACTION: f64 = 0.97;
 
-/// How far a process that stops has come.
+/// The stage of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainStage {
-    /// It serves.
+    /// Requests are served; no shutdown has begun.
     Serving,
-    /// It says that it is not ready, and still serves what comes.
+    /// The entry reports that it is not ready, and still serves new requests.
     Noticed,
-    /// It closes connections as they become idle.
+    /// Connections are closed as they become idle.
     Closing,
-    /// It listens no more, and finishes what is open.
+    /// The listener is closed, and open requests are being finished.
     Deaf,
-    /// Nothing is open, or the grace time is over: the process may end.
+    /// No connection is open, or the grace period is over; the process may end.
     Stopped,
 }
 
-/// The stopping of one entry.
+/// The shutdown of one entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
     stage: DrainStage,
@@ -45,26 +45,26 @@
 }
 
 impl Shutdown {
-    /// Begins to stop; being told so again changes nothing. `grace` is how long that may take.
+    /// Begins the shutdown, which may take as long as `grace`; later calls have no effect.
     pub fn begin(&mut self, now: Millis, grace: Millis) {
         if self.stage > DrainStage::Serving {
             return;
         }
         self.stage = DrainStage::Noticed;
         self.began = now;
-        self.ends_at = now + Millis((grace.0 as f64 * GRACE_PART) as u64);
+        self.ends_at = now + Millis((grace.0 as f64 * GRACE_FRACTION) as u64);
     }
 
-    /// Returns how far it has come.
+    /// Returns the current stage.
     pub fn stage(&self) -> DrainStage {
         self.stage
     }
 
-    /// Goes on by at most one stage; `is_idle` tells that no connection is open.
+    /// Advances by at most one stage and returns it; `is_idle` is whether no connection is open.
     pub fn step(&mut self, now: Millis, is_idle: bool) -> DrainStage {
         self.stage = match self.stage {
             DrainStage::Serving => DrainStage::Serving,
-            DrainStage::Noticed if now.since(self.began) < NOTICE => DrainStage::Noticed,
+            DrainStage::Noticed if now.since(self.began) < NOT_READY_NOTICE => DrainStage::Noticed,
             DrainStage::Noticed => DrainStage::Closing,
             DrainStage::Closing if is_idle || now >= self.ends_at => DrainStage::Deaf,
             DrainStage::Deaf if is_idle || now >= self.ends_at => DrainStage::Stopped,
@@ -73,11 +73,11 @@
         self.stage
     }
 
-    /// Tells whether a request that may take this long surely ends before the process does.
+    /// Returns whether a request with this timeout is certain to end before the process does.
     ///
-    /// One that is cut may have run, and its caller can't tell; refused before it is sent, it is
-    /// taken by another entry at once.
-    pub fn has_time_for(&self, now: Millis, patience: Millis) -> bool {
-        self.stage < DrainStage::Closing || now + patience < self.ends_at
+    /// A request that is cut off may have run, and its caller can't know. If it is refused before
+    /// it is sent, another entry can take it at once.
+    pub fn has_time_for(&self, now: Millis, timeout: Millis) -> bool {
+        self.stage < DrainStage::Closing || now + timeout < self.ends_at
     }
 }
