--- a/src/kingcupgrade/coordination/consensus/replication.rs
+++ b/src/kingcupgrade/coordination/consensus/replication.rs
@@ -76,7 +76,7 @@
             }
             return;
         };
-        let entries = self.log.from(state.next, MAX_ENTRIES);
+        let entries = self.log.entries_from(state.next, MAX_ENTRIES);
         if entries.is_empty() && !heartbeat {
             return;
         }
--- a/src/kingcupgrade/state/disk.rs
+++ b/src/kingcupgrade/state/disk.rs
@@ -1,11 +1,11 @@
 //! The data folder of a control instance.
 //!
-//! - `identity` names the replica; it is written once.
-//! - `snapshot` holds the newest snapshot; it is replaced by renaming a synced file over it.
-//! - `log` holds what came after, one frame for each synced write.
+//! - `identity` identifies the replica; it is written once.
+//! - `snapshot` holds the latest snapshot; it is replaced by renaming a synced file over it.
+//! - `log` holds the entries that follow the snapshot, one frame for each synced write.
 //!
-//! The log is rewritten when a snapshot is taken. A crash between the two leaves entries that the
-//! snapshot covers, which are skipped when the folder is read.
+//! The log is rewritten after a snapshot is written. A crash between the two leaves entries that
+//! the snapshot covers, which are skipped when the folder is read.
 
 use std::{
     fs::{self, File, OpenOptions},
@@ -24,51 +24,51 @@
     protocol::consensus::{FOUNDING_REPLICA, LogEntry, Member, Position, ReplicaId, Snapshot},
 };
 
-/// A part of one synced write.
+/// An item in the payload of a log frame.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum LogRecord {
     /// Term and vote.
     #[serde(rename = "h")]
     HardState(HardState),
-    /// Entries; earlier ones from the first one's index on are void.
+    /// Log entries, which replace all earlier ones from the index of the first one on.
     #[serde(rename = "e")]
     Entries(Vec<LogEntry>),
 }
 
-/// A replica's open data folder.
+/// The open data folder of a replica.
 #[derive(Debug)]
 pub struct Disk {
     folder: PathBuf,
     log: File,
-    /// Kept for rewriting the log.
+    /// The latest hard state, for rewriting the log.
     hard_state: HardState,
 }
 
-/// What a data folder holds.
+/// The contents of a data folder.
 #[derive(Clone, Debug)]
 pub struct Contents {
-    /// The replica.
+    /// The identifier of the replica.
     pub id: ReplicaId,
-    /// Its state.
+    /// The stored state.
     pub stored: Stored,
-    /// Bytes of a write that a crash cut short; they were never acknowledged.
+    /// The length of a torn write at the end of the log, in bytes; it was never acknowledged.
     pub torn: usize,
 }
 
-/// Makes a data folder for a founding member of a record.
+/// Creates the data folder of an initial member of a new, empty record.
 ///
 /// # Errors
 ///
-/// Returns an error if the folder holds a replica already or can't be written.
+/// Returns an error if the folder already holds a replica or can't be written.
 pub fn found(folder: &Path, instance: &Instance, members: &[Instance]) -> Result<(), CodedError> {
     found_from(folder, instance, members, Position::default(), Vec::new())
 }
 
-/// Makes a data folder for a founding member of a record that begins from a state.
+/// Creates the data folder of an initial member of a record that starts from the given state.
 ///
 /// # Errors
 ///
-/// Returns an error if the folder holds a replica already or can't be written.
+/// Returns an error if the folder already holds a replica or can't be written.
 pub fn found_from(
     folder: &Path,
     instance: &Instance,
@@ -77,7 +77,7 @@
     data: Vec<u8>,
 ) -> Result<(), CodedError> {
     if is_founded(folder) {
-        let detail = format!("{} holds a replica already", folder.display());
+        let detail = format!("{} already holds a replica", folder.display());
         return Err(CodedError::new(Code::DataForeign, detail));
     }
     fs::create_dir_all(folder).map_err(|err| storage_failed(folder, &err))?;
@@ -85,11 +85,11 @@
         .iter()
         .map(|member| Member { id: ReplicaId(member.clone(), FOUNDING_REPLICA), voter: true });
     let snapshot = Snapshot { position, members: members.collect(), data };
-    write_whole(folder, "snapshot", &snapshot)?;
-    write_whole(folder, "identity", &ReplicaId(instance.clone(), FOUNDING_REPLICA))
+    write_value(folder, "snapshot", &snapshot)?;
+    write_value(folder, "identity", &ReplicaId(instance.clone(), FOUNDING_REPLICA))
 }
 
-/// Tells whether a folder holds a replica.
+/// Returns whether a folder holds a replica.
 pub fn is_founded(folder: &Path) -> bool {
     folder.join("identity").exists()
 }
@@ -98,11 +98,11 @@
 ///
 /// # Errors
 ///
-/// Returns [`Code::DataCorrupt`] with file and offset if a record does not match its checksum,
-/// and [`Code::StorageFailed`] if a file can't be read.
+/// Returns [`Code::DataCorrupt`] with file and offset if a frame does not match its checksum, and
+/// [`Code::StorageFailed`] if a file can't be read.
 pub fn read(folder: &Path) -> Result<Contents, CodedError> {
-    let id: ReplicaId = read_whole(folder, "identity")?;
-    let snapshot: Snapshot = read_whole(folder, "snapshot")?;
+    let id: ReplicaId = read_value(folder, "identity")?;
+    let snapshot: Snapshot = read_value(folder, "snapshot")?;
     let path = folder.join("log");
     let bytes = match fs::read(&path) {
         Ok(bytes) => bytes,
@@ -127,7 +127,8 @@
     Ok(Contents { id, stored: Stored { hard_state, log }, torn })
 }
 
-/// Replays one record; an entry that does not follow the one before means a lost write.
+/// Replays one log record. Fails if an entry does not follow the previous one, which means that a
+/// write was lost.
 fn replay(record: LogRecord, hard_state: &mut HardState, log: &mut Log) -> Result<(), ()> {
     let entries = match record {
         LogRecord::HardState(state) => {
@@ -148,9 +149,9 @@
 }
 
 impl Disk {
-    /// Opens a data folder, making an empty one for a new replica if there is none.
+    /// Opens a data folder, or creates one for a new replica without a record if there is none.
     ///
-    /// `fresh_replica` numbers the new replica.
+    /// `new_replica` is the number of the new replica.
     ///
     /// # Errors
     ///
@@ -159,12 +160,12 @@
     pub fn open(
         folder: &Path,
         instance: &Instance,
-        fresh_replica: u64,
+        new_replica: u64,
     ) -> Result<(Disk, Contents), CodedError> {
         if !is_founded(folder) {
             fs::create_dir_all(folder).map_err(|err| storage_failed(folder, &err))?;
-            write_whole(folder, "snapshot", Stored::founding(Vec::new()).log.snapshot())?;
-            write_whole(folder, "identity", &ReplicaId(instance.clone(), fresh_replica))?;
+            write_value(folder, "snapshot", Stored::founding(Vec::new()).log.snapshot())?;
+            write_value(folder, "identity", &ReplicaId(instance.clone(), new_replica))?;
         }
         let contents = read(folder)?;
         if contents.id.0 != *instance {
@@ -178,12 +179,12 @@
         Ok((Disk { folder: folder.to_owned(), log, hard_state }, contents))
     }
 
-    /// Writes and syncs; `log` is the log as it stands after the writes.
+    /// Writes and syncs; `log` is the log after these writes.
     ///
     /// # Errors
     ///
-    /// Returns [`Code::StorageFailed`]. After a failed sync the system may have dropped the
-    /// unwritten pages while calling the file clean, so the disk must not be used again.
+    /// Returns [`Code::StorageFailed`]. After a failed sync the kernel may have dropped the dirty
+    /// pages and marked them clean, so the disk must not be used again.
     pub fn write(&mut self, writes: Vec<Persist>, log: &Log) -> Result<(), CodedError> {
         let mut records = Vec::new();
         let mut has_snapshot = false;
@@ -204,14 +205,14 @@
         append(&mut self.log, &records).map_err(|err| storage_failed(&path, &err))
     }
 
-    /// Writes the snapshot, then a log with what follows it.
+    /// Writes the snapshot, then a new log with the entries that follow it.
     ///
     /// # Errors
     ///
     /// Returns [`Code::StorageFailed`].
     pub fn rewrite(&mut self, log: &Log) -> Result<(), CodedError> {
-        write_whole(&self.folder, "snapshot", log.snapshot())?;
-        let entries = log.from(0, usize::MAX);
+        write_value(&self.folder, "snapshot", log.snapshot())?;
+        let entries = log.entries_from(0, usize::MAX);
         let records = [LogRecord::HardState(self.hard_state.clone()), LogRecord::Entries(entries)];
         let mut buf = Vec::new();
         frames::encode(&encode(&records), &mut buf);
@@ -222,7 +223,7 @@
     }
 }
 
-/// Joins entries that follow each other, so that many appended in one turn share a record.
+/// Merges consecutive entries, so that many entries appended in one batch share a log record.
 fn push_entries(records: &mut Vec<LogRecord>, entries: Vec<LogEntry>) {
     let next = entries.first().map(|entry| entry.index);
     if let Some(LogRecord::Entries(known)) = records.last_mut()
@@ -251,13 +252,13 @@
     Ok(log)
 }
 
-fn write_whole(folder: &Path, name: &str, value: &impl Serialize) -> Result<(), CodedError> {
+fn write_value(folder: &Path, name: &str, value: &impl Serialize) -> Result<(), CodedError> {
     let mut buf = Vec::new();
     frames::encode(&encode(value), &mut buf);
     replace(folder, name, &buf)
 }
 
-/// Replaces a file so that a crash leaves either the old one or the new one whole.
+/// Replaces a file atomically: a crash leaves either the old or the new one intact.
 fn replace(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), CodedError> {
     let target = folder.join(name);
     let temporary = folder.join(format!("{name}.new"));
@@ -275,7 +276,7 @@
     File::open(folder)?.sync_all()
 }
 
-fn read_whole<T: DeserializeOwned>(folder: &Path, name: &str) -> Result<T, CodedError> {
+fn read_value<T: DeserializeOwned>(folder: &Path, name: &str) -> Result<T, CodedError> {
     let path = folder.join(name);
     let bytes = fs::read(&path).map_err(|err| storage_failed(&path, &err))?;
     match frames::decode(&bytes) {
--- a/src/kingcupgrade/state/frames.rs
+++ b/src/kingcupgrade/state/frames.rs
@@ -1,26 +1,28 @@
 //! Checksummed frames in a file.
 //!
-//! One synced write is one frame, so a crash can tear only the last one. Header and payload have a
-//! checksum each: with one for both, a damaged length in the middle of the file would look like a
-//! torn end, and everything after it, acknowledged long ago, would be dropped without a word.
+//! Each synced write is one frame, so a crash can tear only the last one. Header and payload have
+//! separate checksums. With a single checksum, a corrupt length in the middle of the file would
+//! look like a torn write at its end, and all acknowledged frames after it would be dropped
+//! silently.
 
 use crc32fast::hash;
 
-/// Marks the beginning of a frame.
+/// The first bytes of a frame.
 const MAGIC: [u8; 4] = *b"KCF1";
-/// Magic, payload length, payload checksum, header checksum.
+/// The header length: magic, payload length, payload checksum and header checksum.
 const HEADER_LEN: usize = 16;
-/// The largest payload, a bound for damaged lengths.
+/// The maximum payload length; a header with a larger one is corrupt.
 const MAX_PAYLOAD_LEN: usize = 1 << 30;
 
-/// What follows the last whole frame.
+/// What follows the last intact frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tail {
     /// Nothing.
     Clean,
-    /// A write that a crash cut short, beginning at this offset.
+    /// A torn write that begins at this offset.
     Torn(usize),
-    /// A damaged frame at this offset that whole ones follow, or that is complete.
+    /// A corrupt frame at this offset that is not a torn write: it is complete and not the last
+    /// one, or an intact header follows it.
     Corrupt(usize),
 }
 
@@ -36,13 +38,13 @@
     buf.extend_from_slice(payload);
 }
 
-/// Returns the payloads of the whole frames at the beginning of `bytes`, and what follows them.
+/// Returns the payloads of the intact frames at the beginning of `bytes`, and what follows them.
 pub fn decode(bytes: &[u8]) -> (Vec<&[u8]>, Tail) {
     let mut payloads = Vec::new();
     let mut at = 0;
     while at < bytes.len() {
         let Some(header) = read_header(&bytes[at..]) else {
-            return (payloads, judge_headless(bytes, at));
+            return (payloads, classify_unreadable(bytes, at));
         };
         let start = at + HEADER_LEN;
         let Some(payload) = bytes.get(start..start + header.len) else {
@@ -68,13 +70,13 @@
     let word = |at: usize| {
         u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]])
     };
-    let is_whole = header[..4] == MAGIC && hash(&header[..12]) == word(12);
+    let is_intact = header[..4] == MAGIC && hash(&header[..12]) == word(12);
     let len = word(4) as usize;
-    (is_whole && len <= MAX_PAYLOAD_LEN).then_some(Header { len, checksum: word(8) })
+    (is_intact && len <= MAX_PAYLOAD_LEN).then_some(Header { len, checksum: word(8) })
 }
 
-/// Judges a place where no header can be read: torn if nothing whole follows it.
-fn judge_headless(bytes: &[u8], at: usize) -> Tail {
-    let later = (at + 1..bytes.len()).any(|place| read_header(&bytes[place..]).is_some());
-    if later { Tail::Corrupt(at) } else { Tail::Torn(at) }
+/// Classifies an offset without a valid header: a torn write unless a valid header follows.
+fn classify_unreadable(bytes: &[u8], at: usize) -> Tail {
+    let is_followed = (at + 1..bytes.len()).any(|offset| read_header(&bytes[offset..]).is_some());
+    if is_followed { Tail::Corrupt(at) } else { Tail::Torn(at) }
 }
--- a/src/kingcupgrade/state/keys.rs
+++ b/src/kingcupgrade/state/keys.rs
@@ -1,7 +1,9 @@
-//! Request keys: what must run at most once, and the answers kept for it.
+//! Request keys (`Idempotency-Key`), for requests that must run at most once, and their stored
+//! answers.
 //!
-//! A key is claimed in the record before the first byte of its request leaves the fleet. Whatever
-//! dies after that, the record says that the request may have run, and no entry sends it again.
+//! A key is claimed in the record before the first byte of its request is sent to an upstream. If
+//! any process fails after that, the record shows that the request may have run, and no entry sends
+//! it again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,19 +14,20 @@
     protocol::record::{ClaimId, KeptAnswer, Reply, RequestKey, Settlement},
 };
 
-/// How long an ended key is remembered, by the record's time.
+/// How long a key is kept after its request ended, by the record's clock.
 pub const KEY_RETENTION: Millis = Millis(3_600_000);
-/// Keys of one organisation at most; beyond it new ones are refused, since forgetting one that a
-/// caller may still repeat would let its request run twice.
+/// The maximum number of keys per organisation. Further ones are refused: if an old key were
+/// evicted while its caller could still retry, the request could run twice.
 pub const MAX_KEYS: usize = 10_000;
-/// The largest answer kept for replay, in bytes.
+/// The maximum body length of an answer stored for replay, in bytes.
 pub const MAX_KEPT_BODY: usize = 64 << 10;
-/// Bytes of kept answers of one organisation at most; later answers are kept without a body.
+/// The maximum total bytes of stored bodies per organisation; further answers are stored without
+/// their body.
 const MAX_KEPT_BYTES: usize = 8 << 20;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum Standing {
-    /// Claimed until a point of the record's time.
+enum ClaimStatus {
+    /// Claimed by an attempt, which may run until the given time of the record's clock.
     #[serde(rename = "c")]
     Claimed(ClaimId, Millis),
     #[serde(rename = "d")]
@@ -38,32 +41,33 @@
     #[serde(rename = "g")]
     digest: u128,
     #[serde(rename = "s")]
-    standing: Standing,
+    status: ClaimStatus,
     #[serde(rename = "f")]
-    forget_at: Millis,
+    expires_at: Millis,
 }
 
-/// How much of the bounds an organisation uses.
+/// The number of keys and the stored bytes of an organisation, which are limited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Usage {
     keys: usize,
     bytes: usize,
 }
 
-/// All request keys.
+/// The request keys of all organisations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Keys {
+    /// The serialized form of `index`, filled by [`Keys::pack`] and emptied by [`Keys::unpack`].
     keys: Vec<(RequestKey, KeyState)>,
     #[serde(skip)]
     index: BTreeMap<RequestKey, KeyState>,
     #[serde(skip)]
-    forgets: BTreeSet<(Millis, RequestKey)>,
+    expirations: BTreeSet<(Millis, RequestKey)>,
     #[serde(skip)]
     usage: BTreeMap<Organisation, Usage>,
 }
 
 impl Keys {
-    /// Claims a key at a point of the record's time.
+    /// Claims a key; `now` is the time of the record's clock.
     pub fn claim(
         &mut self,
         now: Millis,
@@ -72,21 +76,21 @@
         digest: u128,
         span: Millis,
     ) -> Reply {
-        self.forget(now);
+        self.expire(now);
         if let Some(state) = self.index.get(key) {
-            return answer_known(now, state, id, digest);
+            return reply_to_known_key(now, state, id, digest);
         }
         if self.usage.get(&key.organisation).is_some_and(|usage| usage.keys >= MAX_KEYS) {
             let detail = format!("{} has {MAX_KEYS} request keys in use", key.organisation);
             return Reply::Refused(CodedError::new(Code::QueueFull, detail));
         }
-        let standing = Standing::Claimed(id, now + span);
-        let forget_at = now + span + KEY_RETENTION;
-        self.insert(key.clone(), KeyState { digest, standing, forget_at });
+        let status = ClaimStatus::Claimed(id, now + span);
+        let expires_at = now + span + KEY_RETENTION;
+        self.insert(key.clone(), KeyState { digest, status, expires_at });
         Reply::Claimed
     }
 
-    /// Ends a claim; one that is not the key's present claim changes nothing.
+    /// Settles a claim; has no effect if the key is not claimed under this id.
     pub fn settle(
         &mut self,
         now: Millis,
@@ -95,23 +99,23 @@
         settlement: &Settlement,
     ) -> Reply {
         let Some(state) = self.index.get(key) else { return Reply::Settled };
-        if !matches!(state.standing, Standing::Claimed(claim, _) if claim == id) {
+        if !matches!(state.status, ClaimStatus::Claimed(claim, _) if claim == id) {
             return Reply::Settled;
         }
         let digest = state.digest;
         self.remove(key);
-        let standing = match settlement {
+        let status = match settlement {
             Settlement::Released => return Reply::Settled,
-            Settlement::Unknown => Standing::Unknown,
-            Settlement::Done(answer) => Standing::Done(self.fit(key, answer)),
+            Settlement::Unknown => ClaimStatus::Unknown,
+            Settlement::Done(answer) => ClaimStatus::Done(self.limit_body(key, answer)),
         };
-        let forget_at = now + KEY_RETENTION;
-        self.insert(key.clone(), KeyState { digest, standing, forget_at });
+        let expires_at = now + KEY_RETENTION;
+        self.insert(key.clone(), KeyState { digest, status, expires_at });
         Reply::Settled
     }
 
-    /// Leaves the body out of an answer that would exceed the organisation's bound.
-    fn fit(&self, key: &RequestKey, answer: &KeptAnswer) -> KeptAnswer {
+    /// Drops the body of an answer that exceeds the limits.
+    fn limit_body(&self, key: &RequestKey, answer: &KeptAnswer) -> KeptAnswer {
         let used = self.usage.get(&key.organisation).map_or(0, |usage| usage.bytes);
         let mut answer = answer.clone();
         let len = answer.body.as_ref().map_or(0, String::len);
@@ -125,13 +129,13 @@
         let usage = self.usage.entry(key.organisation.clone()).or_default();
         usage.keys += 1;
         usage.bytes += body_len(&state);
-        self.forgets.insert((state.forget_at, key.clone()));
+        self.expirations.insert((state.expires_at, key.clone()));
         self.index.insert(key, state);
     }
 
     fn remove(&mut self, key: &RequestKey) {
         let Some(state) = self.index.remove(key) else { return };
-        self.forgets.remove(&(state.forget_at, key.clone()));
+        self.expirations.remove(&(state.expires_at, key.clone()));
         let Some(usage) = self.usage.get_mut(&key.organisation) else { return };
         usage.keys -= 1;
         usage.bytes -= body_len(&state);
@@ -140,32 +144,32 @@
         }
     }
 
-    /// Forgets keys whose time is over.
-    fn forget(&mut self, now: Millis) {
-        while let Some((forget_at, key)) = self.forgets.first().cloned() {
-            if forget_at > now {
+    /// Removes expired keys.
+    fn expire(&mut self, now: Millis) {
+        while let Some((expires_at, key)) = self.expirations.first().cloned() {
+            if expires_at > now {
                 break;
             }
             self.remove(&key);
         }
     }
 
-    /// Returns how many keys are remembered.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.index.len()
     }
 
-    /// Tells whether no key is remembered.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
 
-    /// Prepares for being written: fills the part that is written from the index.
+    /// Fills the serialized form from the index; to be called before encoding.
     pub fn pack(&mut self) {
         self.keys = self.index.iter().map(|(key, state)| (key.clone(), state.clone())).collect();
     }
 
-    /// Completes what was read.
+    /// Rebuilds the index and the usage from the serialized form; to be called after decoding.
     pub fn unpack(&mut self) {
         for (key, state) in std::mem::take(&mut self.keys) {
             self.insert(key, state);
@@ -174,23 +178,23 @@
 }
 
 fn body_len(state: &KeyState) -> usize {
-    match &state.standing {
-        Standing::Done(answer) => answer.body.as_ref().map_or(0, String::len),
-        Standing::Claimed(..) | Standing::Unknown => 0,
+    match &state.status {
+        ClaimStatus::Done(answer) => answer.body.as_ref().map_or(0, String::len),
+        ClaimStatus::Claimed(..) | ClaimStatus::Unknown => 0,
     }
 }
 
-fn answer_known(now: Millis, state: &KeyState, id: ClaimId, digest: u128) -> Reply {
+fn reply_to_known_key(now: Millis, state: &KeyState, id: ClaimId, digest: u128) -> Reply {
     if state.digest != digest {
         return refuse(Code::KeyReused);
     }
-    match &state.standing {
-        // The claimer's own resend after a lost answer.
-        Standing::Claimed(claim, _) if *claim == id => Reply::Claimed,
-        Standing::Claimed(_, until) if now < *until => refuse(Code::KeyInProgress),
-        // Its claimer never said how it ended and has run out of time.
-        Standing::Claimed(..) | Standing::Unknown => refuse(Code::KeyUnknown),
-        Standing::Done(answer) => Reply::Replay(answer.clone()),
+    match &state.status {
+        // A resend by the same claimer after a lost reply.
+        ClaimStatus::Claimed(claim, _) if *claim == id => Reply::Claimed,
+        ClaimStatus::Claimed(_, until) if now < *until => refuse(Code::KeyInProgress),
+        // The claim was never settled and has expired, so the request may have run.
+        ClaimStatus::Claimed(..) | ClaimStatus::Unknown => refuse(Code::KeyUnknown),
+        ClaimStatus::Done(answer) => Reply::Replay(answer.clone()),
     }
 }
 
--- a/src/kingcupgrade/state/log.rs
+++ b/src/kingcupgrade/state/log.rs
@@ -1,4 +1,4 @@
-//! A replica's log in memory, and what of it must be on disk.
+//! The in-memory log of a replica, and the writes that make it durable.
 
 use std::collections::VecDeque;
 
@@ -6,29 +6,29 @@
 
 use crate::protocol::consensus::{LogEntry, Member, Payload, Position, ReplicaId, Snapshot};
 
-/// What must survive a crash besides log and snapshot.
+/// The state besides the log and snapshot that must survive a crash.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The newest term seen.
+    /// The latest term seen.
     #[serde(rename = "t")]
     pub term: u64,
-    /// Whom the vote of that term went to.
+    /// The candidate that this replica voted for in that term.
     #[serde(rename = "v")]
     pub vote: Option<ReplicaId>,
 }
 
-/// What is to be written to disk.
+/// A write to disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Persist {
     /// Term and vote.
     HardState(HardState),
-    /// Entries; those on disk from the first one's index on are replaced.
+    /// Log entries, which replace those on disk from the index of the first one on.
     Entries(Vec<LogEntry>),
     /// A snapshot that replaces all entries up to its position.
     Snapshot(Snapshot),
 }
 
-/// What a replica starts from.
+/// The stored state from which a replica starts.
 #[derive(Clone, Debug)]
 pub struct Stored {
     /// Term and vote.
@@ -38,42 +38,43 @@
 }
 
 impl Stored {
-    /// Returns the beginning of a record with the given members, empty for a replica that waits
-    /// to be added to one.
+    /// Returns the initial state of a record with the given members; without members, of a replica
+    /// that waits to be added to a record.
     pub fn founding(members: Vec<Member>) -> Stored {
         let snapshot = Snapshot { position: Position::default(), members, data: Vec::new() };
         Stored { hard_state: HardState::default(), log: Log::new(snapshot, []) }
     }
 }
 
-/// Entries after a snapshot.
+/// A snapshot and the entries that follow it.
 #[derive(Clone, Debug)]
 pub struct Log {
     snapshot: Snapshot,
     entries: VecDeque<LogEntry>,
-    /// The indexes of the entries that set members; looked up with every message.
+    /// The indexes of the entries that change the members, cached because the members are looked up
+    /// for every message.
     member_changes: Vec<u64>,
 }
 
 impl Log {
-    /// Makes a log from what the disk held.
+    /// Creates a log from a snapshot and the entries that follow it.
     pub fn new(snapshot: Snapshot, entries: impl IntoIterator<Item = LogEntry>) -> Log {
         let mut log = Log { snapshot, entries: VecDeque::new(), member_changes: Vec::new() };
         entries.into_iter().for_each(|entry| log.push(entry));
         log
     }
 
-    /// Returns the newest snapshot.
+    /// Returns the latest snapshot.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// Returns how many entries follow the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether no entry follows the snapshot.
+    /// Returns whether there are no entries after the snapshot.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Returns the term of the entry at `index`, if the log reaches from there.
+    /// Returns the term of the entry at `index`, if the log contains it or the snapshot ends there.
     pub fn term(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.position.index {
             return Some(self.snapshot.position.term);
@@ -94,38 +95,39 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// Returns the entry at `index`.
+    /// Returns the entry at `index`, if it is in the log.
     pub fn entry(&self, index: u64) -> Option<&LogEntry> {
-        let place = index.checked_sub(self.snapshot.position.index + 1)?;
-        self.entries.get(usize::try_from(place).ok()?)
+        let offset = index.checked_sub(self.snapshot.position.index + 1)?;
+        self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Returns up to `most` entries from `index` on.
-    pub fn from(&self, index: u64, most: usize) -> Vec<LogEntry> {
+    /// Returns up to `limit` entries from `index` on.
+    pub fn entries_from(&self, index: u64, limit: usize) -> Vec<LogEntry> {
         let skipped = index.saturating_sub(self.snapshot.position.index + 1);
-        self.entries.iter().skip(skipped as usize).take(most).cloned().collect()
+        self.entries.iter().skip(skipped as usize).take(limit).cloned().collect()
     }
 
     /// Appends an entry.
     pub fn push(&mut self, entry: LogEntry) {
-        debug_assert_eq!(entry.index, self.last().index + 1, "entries follow each other");
+        debug_assert_eq!(entry.index, self.last().index + 1, "entries have consecutive indexes");
         if matches!(entry.payload, Payload::Members(_)) {
             self.member_changes.push(entry.index);
         }
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from `index` on.
+    /// Removes the entries from `index` on.
     pub fn truncate(&mut self, index: u64) {
-        let kept = index.saturating_sub(self.snapshot.position.index + 1);
-        self.entries.truncate(kept as usize);
+        let retained = index.saturating_sub(self.snapshot.position.index + 1);
+        self.entries.truncate(retained as usize);
         self.member_changes.retain(|change| *change < index);
     }
 
-    /// Replaces the entries up to the snapshot's position by the snapshot.
+    /// Replaces the entries up to the snapshot's position by the snapshot; removes all entries if
+    /// the log does not match the snapshot at that position.
     pub fn compact(&mut self, snapshot: Snapshot) {
-        let fits = self.term(snapshot.position.index) == Some(snapshot.position.term);
-        if !fits {
+        let matches_snapshot = self.term(snapshot.position.index) == Some(snapshot.position.term);
+        if !matches_snapshot {
             self.entries.clear();
             self.member_changes.clear();
         }
@@ -136,7 +138,8 @@
         self.snapshot = snapshot;
     }
 
-    /// Returns the members as of the end of the log, and the index that set them.
+    /// Returns the members as of the end of the log, and the index of the entry or snapshot that
+    /// set them.
     pub fn members(&self) -> (&[Member], u64) {
         let index = self.member_changes.last().copied();
         (self.members_at(u64::MAX), index.unwrap_or(self.snapshot.position.index))
--- a/src/kingcupgrade/state/mod.rs
+++ b/src/kingcupgrade/state/mod.rs
@@ -1,4 +1,4 @@
-//! What must survive: the record's state, and its log and snapshots on disk.
+//! Durable state: the record, and its log and snapshots on disk.
 
 pub mod disk;
 pub mod frames;
--- a/src/kingcupgrade/state/record.rs
+++ b/src/kingcupgrade/state/record.rs
@@ -1,7 +1,8 @@
-//! The record's state: what its committed commands add up to.
+//! The replicated state machine of the record.
 //!
-//! Applying the same entries gives the same state on every replica, so nothing here reads a clock
-//! or draws a number. Time is the leader's as written into the entries, and it never runs back.
+//! Applying the same entries must give the same state on every replica, so this module reads no
+//! clock and uses no random numbers. The time is the leader's clock as stored in the entries, and
+//! it never goes backwards.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -17,17 +18,18 @@
     },
 };
 
-/// Changes whose answers are kept for a resend.
-const KEPT_CHANGES: usize = 10_000;
-/// Revisions of each document that are kept.
-const KEPT_REVISIONS: usize = 20;
+/// The number of recent changes whose replies are kept for resends.
+const MAX_CHANGES: usize = 10_000;
+/// The number of recent revisions kept of each document.
+const MAX_REVISIONS: usize = 20;
 
-/// The state of the record.
+/// The applied state of the record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The place of the last change that instances need to know.
+    /// The log index of the last change that instances need to know.
     #[serde(rename = "i")]
     index: u64,
+    /// The record's clock: the latest leader time in an applied command.
     #[serde(rename = "w")]
     time: Millis,
     #[serde(rename = "d")]
@@ -39,7 +41,7 @@
     #[serde(rename = "o", default)]
     orders: BTreeMap<UpstreamName, UpstreamOrder>,
     #[serde(rename = "h", default)]
-    whole: Option<StoredConfiguration>,
+    configuration: Option<StoredConfiguration>,
     #[serde(rename = "c")]
     changes: VecDeque<(String, Reply)>,
     #[serde(rename = "k")]
@@ -47,11 +49,11 @@
 }
 
 impl Record {
-    /// Reads a state from a snapshot's data; empty data is the empty state.
+    /// Decodes the state from a snapshot's data; empty data is the empty state.
     ///
     /// # Errors
     ///
-    /// Returns [`Code::DataCorrupt`] if the data can't be read.
+    /// Returns [`Code::DataCorrupt`] if the data can't be decoded.
     pub fn decode(data: &[u8]) -> Result<Record, CodedError> {
         if data.is_empty() {
             return Ok(Record::default());
@@ -62,7 +64,7 @@
         Ok(record)
     }
 
-    /// Writes the state as a snapshot's data.
+    /// Encodes the state as a snapshot's data.
     pub fn encode(&mut self) -> Vec<u8> {
         self.keys.pack();
         let mut data = Vec::new();
@@ -70,10 +72,11 @@
         data
     }
 
-    /// Gives all that instances need to know the place `index`, later than any they have.
+    /// Sets the log index of everything that instances need to know to `index`, which must be
+    /// higher than any index they have.
     ///
-    /// Instances never step back, so what is restored from a backup must come after what they know;
-    /// under its old places they would keep what the backup was to replace.
+    /// Instances ignore state with an index no higher than their own. Under its old indexes, state
+    /// restored from a backup would not replace what they have.
     pub fn restamp(&mut self, index: u64) {
         self.index = index;
         for stored in self.documents.values_mut().filter_map(VecDeque::back_mut) {
@@ -82,12 +85,12 @@
         self.domains.values_mut().for_each(|standing| standing.index = index);
         self.upstreams.values_mut().for_each(|standing| standing.index = index);
         self.orders.values_mut().for_each(|order| order.index = index);
-        if let Some(stored) = &mut self.whole {
+        if let Some(stored) = &mut self.configuration {
             stored.index = index;
         }
     }
 
-    /// Returns the place of the last change that instances need to know.
+    /// Returns the log index of the last change that instances need to know.
     pub fn index(&self) -> u64 {
         self.index
     }
@@ -97,7 +100,7 @@
         &self.keys
     }
 
-    /// Returns the kept revisions of a service's document, the newest last.
+    /// Returns the retained revisions of a service's document, latest last.
     pub fn revisions(&self, service: &Service) -> impl Iterator<Item = &StoredDocument> {
         self.documents.get(service).into_iter().flatten()
     }
@@ -118,41 +121,43 @@
                 self.keys.settle(self.time, *id, key, settlement)
             }
             Command::ApplyDocument { change, service, base, text } => {
-                self.once(change, |record| record.apply_document(index, service, *base, text))
+                self.apply_once(change, |record| record.apply_document(index, service, *base, text))
             }
-            Command::SetDomain { change, domain, out } => self.once(change, |record| {
+            Command::SetDomain { change, domain, out } => self.apply_once(change, |record| {
                 let standing = Standing { name: domain.clone(), out: *out, index };
                 record.domains.insert(domain.clone(), standing);
                 record.accept(index, 0)
             }),
-            Command::SetLeaving { change, upstream, leaving } => self.once(change, |record| {
-                let standing = Standing { name: upstream.clone(), out: *leaving, index };
-                record.upstreams.insert(upstream.clone(), standing);
-                record.accept(index, 0)
-            }),
+            Command::SetLeaving { change, upstream, leaving } => {
+                self.apply_once(change, |record| {
+                    let standing = Standing { name: upstream.clone(), out: *leaving, index };
+                    record.upstreams.insert(upstream.clone(), standing);
+                    record.accept(index, 0)
+                })
+            }
             Command::Order { change, upstream, setup } => {
-                self.once(change, |record| record.order(index, upstream, setup))
+                self.apply_once(change, |record| record.order(index, upstream, setup))
             }
             Command::Replace(proposed) => self.replace(index, proposed),
-            Command::Read => Reply::Whole(self.whole.clone()),
-            // Members are entries of their own kind; this command never reaches the log.
+            Command::Read => Reply::Whole(self.configuration.clone()),
+            // Membership changes have log entries of their own; this command never reaches the log.
             Command::ChangeMembers { .. } => {
                 Reply::Refused(CodedError::new(Code::MemberRefused, "not a change of the record"))
             }
         }
     }
 
-    /// Makes a change, or repeats its first answer if it is a resend.
+    /// Applies a change, or returns its first reply again if it is a resend.
     ///
-    /// An operator whose answer was lost sends the change again. Without the kept answer the
-    /// resend would meet its own revision and be told of a conflict with itself.
-    fn once(&mut self, change: &str, make: impl FnOnce(&mut Record) -> Reply) -> Reply {
+    /// An operator that received no reply sends the change again. Without the stored reply, the
+    /// resend would be refused for a revision conflict with itself.
+    fn apply_once(&mut self, change: &str, make: impl FnOnce(&mut Record) -> Reply) -> Reply {
         if let Some((_, reply)) = self.changes.iter().find(|(known, _)| known == change) {
             return reply.clone();
         }
         let reply = make(self);
         self.changes.push_back((change.to_owned(), reply.clone()));
-        if self.changes.len() > KEPT_CHANGES {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
         reply
@@ -163,25 +168,25 @@
         Reply::Accepted { revision, index }
     }
 
-    /// Takes a whole configuration if its version is higher than the one in force.
+    /// Replaces the whole configuration if the proposed version is higher than the one in force.
     ///
-    /// One that is not higher is acknowledged and changes nothing: it is a resend, or it lost a
-    /// race that its sender can't see.
+    /// Otherwise the proposal is accepted without effect: it is a resend, or a newer version was
+    /// committed first, which its sender can't know.
     fn replace(&mut self, index: u64, proposed: &StoredConfiguration) -> Reply {
-        let current = self.whole.as_ref().map_or(0, |stored| stored.version);
+        let current = self.configuration.as_ref().map_or(0, |stored| stored.version);
         if proposed.version > current {
-            self.whole = Some(StoredConfiguration { index, ..proposed.clone() });
+            self.configuration = Some(StoredConfiguration { index, ..proposed.clone() });
             return self.accept(index, proposed.version);
         }
         Reply::Accepted { revision: current, index: self.index }
     }
 
     /// Returns the whole configuration in force.
-    pub fn whole(&self) -> Option<&StoredConfiguration> {
-        self.whole.as_ref()
+    pub fn configuration(&self) -> Option<&StoredConfiguration> {
+        self.configuration.as_ref()
     }
 
-    /// Files what is wanted of an upstream under the change's own place, its fencing number.
+    /// Stores the changed order for an upstream; the log index of the change is its fencing token.
     fn order(&mut self, index: u64, upstream: &UpstreamName, change: &SetupChange) -> Reply {
         if let Err(err) = change.check() {
             return Reply::Refused(err);
@@ -201,8 +206,8 @@
                 format!("{service} is at revision {current}, the change was made from {base}");
             return Reply::Refused(CodedError::new(Code::RevisionConflict, detail));
         }
-        // Checked before it was proposed; checked again because the record must never hold a
-        // document that its readers can't put in force.
+        // The document was validated before it was proposed. It is validated again because the
+        // record must never contain a document that instances can't put in force.
         match Document::parse(text) {
             Ok(document) if document.service == *service => {}
             Ok(_) => {
@@ -215,13 +220,13 @@
         let stored =
             StoredDocument { service: service.clone(), revision, index, text: text.to_owned() };
         revisions.push_back(stored);
-        if revisions.len() > KEPT_REVISIONS {
+        if revisions.len() > MAX_REVISIONS {
             revisions.pop_front();
         }
         self.accept(index, revision)
     }
 
-    /// Returns all that instances need to know and that changed after `have`.
+    /// Returns the part of the state that changed after index `have`.
     pub fn state_since(
         &self,
         have: u64,
@@ -238,7 +243,7 @@
             domains: self.domains.values().filter(|s| s.index > have).cloned().collect(),
             upstreams: self.upstreams.values().filter(|s| s.index > have).cloned().collect(),
             orders: self.orders.values().filter(|o| o.index > have).cloned().collect(),
-            whole: self.whole.as_ref().filter(|whole| whole.index > have).cloned(),
+            whole: self.configuration.as_ref().filter(|stored| stored.index > have).cloned(),
         }
     }
 }
