--- a/src/kingcupgrade/coordination/consensus/mod.rs
+++ b/src/kingcupgrade/coordination/consensus/mod.rs
@@ -132,7 +132,7 @@
     }
 
     /// Asks the voter with the most complete log to take over before this leader stops.
-    pub fn hand_over(&mut self, out: &mut Vec<ConsensusOutput>) {
+    pub fn transfer_leadership(&mut self, out: &mut Vec<ConsensusOutput>) {
         let Role::Leader { progress, .. } = &self.role else { return };
         let voters = self.other_voters();
         let next = voters.iter().max_by_key(|id| progress.get(id).map(|p| (p.matched, p.acked)));
--- a/src/kingcupgrade/coordination/control.rs
+++ b/src/kingcupgrade/coordination/control.rs
@@ -104,9 +104,9 @@
     }
 
     /// Transfers leadership before the process stops.
-    pub fn hand_over(&mut self, out: &mut Vec<ControlOutput>) {
+    pub fn transfer_leadership(&mut self, out: &mut Vec<ControlOutput>) {
         let mut outputs = Vec::new();
-        self.consensus.hand_over(&mut outputs);
+        self.consensus.transfer_leadership(&mut outputs);
         self.handle_outputs(outputs, out);
     }
 
--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -147,7 +147,7 @@
             FleetInput::Drain => {
                 self.draining = true;
                 self.join(now, unix_ms, out);
-                self.run_control(out, |control, outputs| control.hand_over(outputs));
+                self.run_control(out, |control, outputs| control.transfer_leadership(outputs));
             }
             FleetInput::Tick => self.tick(now, unix_ms, out),
         }
