--- a/src/kingcupgrade/coordination/shutdown.rs
+++ b/src/kingcupgrade/coordination/shutdown.rs
@@ -20,11 +20,11 @@
     /// Requests are served; no shutdown has begun.
     Serving,
     /// The entry reports that it is not ready, and still serves new requests.
-    Noticed,
+    NotReady,
     /// Connections are closed as they become idle.
     Closing,
     /// The listener is closed, and open requests are being finished.
-    Deaf,
+    ListenerClosed,
     /// No connection is open, or the grace period is over; the process may end.
     Stopped,
 }
@@ -50,7 +50,7 @@
         if self.stage > DrainStage::Serving {
             return;
         }
-        self.stage = DrainStage::Noticed;
+        self.stage = DrainStage::NotReady;
         self.began = now;
         self.ends_at = now + Millis((grace.0 as f64 * GRACE_FRACTION) as u64);
     }
@@ -64,10 +64,12 @@
     pub fn step(&mut self, now: Millis, is_idle: bool) -> DrainStage {
         self.stage = match self.stage {
             DrainStage::Serving => DrainStage::Serving,
-            DrainStage::Noticed if now.since(self.began) < NOT_READY_NOTICE => DrainStage::Noticed,
-            DrainStage::Noticed => DrainStage::Closing,
-            DrainStage::Closing if is_idle || now >= self.ends_at => DrainStage::Deaf,
-            DrainStage::Deaf if is_idle || now >= self.ends_at => DrainStage::Stopped,
+            DrainStage::NotReady if now.since(self.began) < NOT_READY_NOTICE => {
+                DrainStage::NotReady
+            }
+            DrainStage::NotReady => DrainStage::Closing,
+            DrainStage::Closing if is_idle || now >= self.ends_at => DrainStage::ListenerClosed,
+            DrainStage::ListenerClosed if is_idle || now >= self.ends_at => DrainStage::Stopped,
             stage => stage,
         };
         self.stage
--- a/src/kingcupgrade/transport/gateway/serve.rs
+++ b/src/kingcupgrade/transport/gateway/serve.rs
@@ -72,7 +72,7 @@
     loop {
         let accepted = tokio::select! {
             biased;
-            _ = drain.wait_for(|stage| *stage >= DrainStage::Deaf) => return Ok(()),
+            _ = drain.wait_for(|stage| *stage >= DrainStage::ListenerClosed) => return Ok(()),
             accepted = listener.accept() => accepted,
         };
         match accepted {
--- a/tests/testsuite/shutdown.rs
+++ b/tests/testsuite/shutdown.rs
@@ -20,9 +20,9 @@
 #[test]
 fn nothing_ends_while_the_listener_is_open() {
     let mut shutdown = closing_at(Millis(3_000));
-    assert_eq!(shutdown.step(Millis(3_010), true), DrainStage::Deaf);
+    assert_eq!(shutdown.step(Millis(3_010), true), DrainStage::ListenerClosed);
     // A connection that was accepted just before the listener closed is finished first.
-    assert_eq!(shutdown.step(Millis(3_020), false), DrainStage::Deaf);
+    assert_eq!(shutdown.step(Millis(3_020), false), DrainStage::ListenerClosed);
     assert_eq!(shutdown.step(Millis(3_030), true), DrainStage::Stopped);
 }
 
@@ -47,7 +47,7 @@
     let long = Millis(12_000);
     assert!(shutdown.has_time_for(Millis::ZERO, long));
     shutdown.begin(Millis::ZERO, GRACE);
-    assert_eq!(shutdown.step(Millis(1_000), true), DrainStage::Noticed);
+    assert_eq!(shutdown.step(Millis(1_000), true), DrainStage::NotReady);
     assert!(shutdown.has_time_for(Millis(1_000), long));
     let shutdown = closing_at(Millis(3_000));
     assert!(shutdown.has_time_for(Millis(3_000), Millis(600)));
@@ -60,6 +60,6 @@
 fn a_second_signal_changes_nothing() {
     let mut shutdown = closing_at(Millis(3_000));
     shutdown.begin(Millis(3_000), GRACE);
-    assert_eq!(shutdown.step(Millis(7_900), false), DrainStage::Deaf);
+    assert_eq!(shutdown.step(Millis(7_900), false), DrainStage::ListenerClosed);
     assert_eq!(shutdown.step(Millis(7_910), false), DrainStage::Stopped);
 }
