--- a/src/kingcupgrade/coordination/client.rs
+++ b/src/kingcupgrade/coordination/client.rs
@@ -239,7 +239,7 @@
 
     /// Removes proposals whose deadline has passed; the returned reply to each says that it is
     /// unknown whether it was committed.
-    pub fn give_up_overdue(&mut self, now: Millis) -> Vec<(u64, Reply)> {
+    pub fn expire_proposals(&mut self, now: Millis) -> Vec<(u64, Reply)> {
         let overdue: Vec<u64> = self
             .proposals
             .iter()
--- a/src/kingcupgrade/coordination/decision.rs
+++ b/src/kingcupgrade/coordination/decision.rs
@@ -139,7 +139,7 @@
 
 impl WithheldSlots {
     /// Returns whether any slots are withheld, that is, unavailable without a grant using them.
-    pub fn is_any(&self) -> bool {
+    pub fn has_withheld(&self) -> bool {
         self.reserved > 0
             || self.unaccounted != Some(0)
             || self.paused_ms > Millis::ZERO
--- a/src/kingcupgrade/coordination/dispatcher/withheld.rs
+++ b/src/kingcupgrade/coordination/dispatcher/withheld.rs
@@ -28,7 +28,7 @@
             paused_ms: slots.pause_left(now),
             is_leaving: slots.leaving || self.leaving.contains(name),
         });
-        let withheld: Vec<WithheldSlots> = slots.filter(WithheldSlots::is_any).collect();
+        let withheld: Vec<WithheldSlots> = slots.filter(WithheldSlots::has_withheld).collect();
         if withheld.is_empty() {
             return;
         }
--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -193,7 +193,7 @@
         let is_confirmed = self.view.is_fresh(now);
         self.client.pull(now, self.view.index(), is_confirmed, &mut messages);
         self.send_all(messages, out);
-        for (id, reply) in self.client.give_up_overdue(now) {
+        for (id, reply) in self.client.expire_proposals(now) {
             self.on_answer(id, reply, out);
         }
         self.roster.expire(now, self.control.is_some());
--- a/src/kingcupgrade/coordination/node/record.rs
+++ b/src/kingcupgrade/coordination/node/record.rs
@@ -116,7 +116,7 @@
         for (to, message) in messages {
             self.send(to, Message::Record(message), out);
         }
-        for (id, reply) in self.client.give_up_overdue(now) {
+        for (id, reply) in self.client.expire_proposals(now) {
             self.on_answer(now, id, reply, out);
         }
     }
