--- a/src/kingcupgrade/coordination/node/mod.rs
+++ b/src/kingcupgrade/coordination/node/mod.rs
@@ -18,7 +18,7 @@
     dispatcher::{Dispatcher, slots::Listed},
     entry::{Arrival, AttemptEnd, EntryMachine, RequestId},
     lease::LeaseBook,
-    orders::{Ask, AskId, EngineAnswer, OrderBook},
+    orders::{EngineRequest, EngineRequestId, EngineResponse, OrderReconciler},
     view::View,
 };
 use crate::{
@@ -92,7 +92,7 @@
     /// The platform listed a service's upstreams in this failure domain.
     Listed(Service, Vec<Listed>),
     /// An engine answered a request, or failed to.
-    EngineAnswered(AskId, EngineAnswer),
+    EngineResponded(EngineRequestId, EngineResponse),
     /// A request from an operator arrived.
     Asked(Ticket, OperatorRequest),
     /// The disk failed; the control replica must stop.
@@ -135,7 +135,7 @@
     /// Poll the platform for the upstreams of exactly these services from now on.
     Watch(BTreeSet<Service>),
     /// Send a request to an engine.
-    AskEngine(Ask),
+    EngineRequest(EngineRequest),
     /// The configuration changed.
     ViewChanged,
     /// A caller's request is closed; no further output concerns it.
@@ -169,7 +169,7 @@
     leases: Option<LeaseBook>,
     dispatchers: BTreeMap<Service, Dispatcher>,
     /// Orders to the engines of the pools this instance dispatches.
-    orders: BTreeMap<Service, OrderBook>,
+    orders: BTreeMap<Service, OrderReconciler>,
     /// Dispatchers of this instance's static shares, for pools without a dispatcher.
     shares: BTreeMap<Service, Dispatcher>,
     /// Services without a known lease holder, and since when.
@@ -289,7 +289,7 @@
             }
             Input::HungUp(id) => self.on_hang_up(now, id),
             Input::Listed(service, listing) => self.on_listed(now, &service, &listing, out),
-            Input::EngineAnswered(id, answer) => self.on_engine_answer(now, &id, answer, out),
+            Input::EngineResponded(id, reply) => self.on_engine_response(now, &id, reply, out),
             Input::Asked(ticket, request) => self.on_operator_request(now, ticket, request, out),
             Input::StorageFailed(err) => {
                 if let Some(control) = &mut self.control {
--- a/src/kingcupgrade/coordination/node/operators.rs
+++ b/src/kingcupgrade/coordination/node/operators.rs
@@ -4,7 +4,7 @@
 
 use super::{Awaited, CHANGE_TIMEOUT, Node, Output, Ticket, not_found};
 use crate::{
-    coordination::{dispatcher::Dispatcher, orders::OrderBook},
+    coordination::{dispatcher::Dispatcher, orders::OrderReconciler},
     core::{Millis, Service, UpstreamName},
     protocol::{
         dispatch::STATIC_TERM,
@@ -94,7 +94,7 @@
     }
 
     fn order_stages(&self, service: &Service) -> BTreeMap<UpstreamName, (u64, String)> {
-        let stages = self.orders.get(service).into_iter().flat_map(OrderBook::stages);
+        let stages = self.orders.get(service).into_iter().flat_map(OrderReconciler::stages);
         stages.map(|(name, number, stage)| (name.clone(), (number, stage))).collect()
     }
 
--- a/src/kingcupgrade/coordination/node/orders.rs
+++ b/src/kingcupgrade/coordination/node/orders.rs
@@ -2,7 +2,9 @@
 
 use super::{Node, Output};
 use crate::{
-    coordination::orders::{AskId, EngineAnswer, EngineState, OrderBook, OrderOutput},
+    coordination::orders::{
+        EngineRequestId, EngineResponse, EngineState, OrderOutput, OrderReconciler,
+    },
     core::{Millis, Service},
 };
 
@@ -10,13 +12,13 @@
     pub(super) fn tick_orders(&mut self, now: Millis, out: &mut Vec<Output>) {
         let services: Vec<Service> = self.orders.keys().cloned().collect();
         for service in services {
-            self.tick_order_book(now, &service, out);
+            self.tick_reconciler(now, &service, out);
         }
     }
 
-    fn tick_order_book(&mut self, now: Millis, service: &Service, out: &mut Vec<Output>) {
+    fn tick_reconciler(&mut self, now: Millis, service: &Service, out: &mut Vec<Output>) {
         let until = self.leases.as_ref().and_then(|leases| leases.held_until(now, service));
-        let (Some(until), Some(dispatcher), Some(book)) =
+        let (Some(until), Some(dispatcher), Some(reconciler)) =
             (until, self.dispatchers.get(service), self.orders.get_mut(service))
         else {
             return;
@@ -27,20 +29,20 @@
             Some(EngineState { order, address, is_idle })
         });
         let mut outputs = Vec::new();
-        book.tick(now, until, engines, &mut outputs);
+        reconciler.tick(now, until, engines, &mut outputs);
         self.handle_order_outputs(now, service, outputs, out);
     }
 
-    pub(super) fn on_engine_answer(
+    pub(super) fn on_engine_response(
         &mut self,
         now: Millis,
-        id: &AskId,
-        answer: EngineAnswer,
+        id: &EngineRequestId,
+        response: EngineResponse,
         out: &mut Vec<Output>,
     ) {
-        let Some(book) = self.orders.get_mut(&id.service) else { return };
+        let Some(reconciler) = self.orders.get_mut(&id.service) else { return };
         let mut outputs = Vec::new();
-        book.on_answer(now, id, answer, &mut outputs);
+        reconciler.on_response(now, id, response, &mut outputs);
         self.handle_order_outputs(now, &id.service, outputs, out);
     }
 
@@ -54,7 +56,7 @@
         let mut dispatched = Vec::new();
         for output in outputs {
             match output {
-                OrderOutput::Ask(ask) => out.push(Output::AskEngine(ask)),
+                OrderOutput::Request(request) => out.push(Output::EngineRequest(request)),
                 OrderOutput::HeldChanged => self.update_availability(service),
                 OrderOutput::Decided(decision) => out.push(Output::Decided(decision)),
                 OrderOutput::Changed(upstream) => {
@@ -74,7 +76,7 @@
         if let Some(share) = self.shares.get_mut(service) {
             share.set_standing(serving, &withheld);
         }
-        let held = self.orders.get(service).map(OrderBook::held);
+        let held = self.orders.get(service).map(OrderReconciler::held);
         withheld.extend(held.into_iter().flatten().cloned());
         if let Some(dispatcher) = self.dispatchers.get_mut(service) {
             dispatcher.set_standing(serving, &withheld);
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -8,7 +8,7 @@
         decision::Decision,
         dispatcher::{Dispatcher, DispatcherOutput, slots::Listed},
         lease::{LEASE, LeaseOutput},
-        orders::OrderBook,
+        orders::OrderReconciler,
     },
     core::{Document, FailureDomain, Instance, Millis, Service, document::SlotLimits},
     protocol::{
@@ -89,7 +89,7 @@
         let domain_entries = entries_in_domain(&self.settings, &self.domain);
         let dispatcher = self.new_dispatcher(now, &service, term, document, domain_entries);
         self.dispatchers.insert(service.clone(), dispatcher);
-        self.orders.insert(service.clone(), OrderBook::new(now, service.clone(), term));
+        self.orders.insert(service.clone(), OrderReconciler::new(now, service.clone(), term));
         out.push(Output::Decided(Decision::Lease { service, term, held: true }));
         self.update_watch(out);
     }
--- a/src/kingcupgrade/coordination/orders.rs
+++ b/src/kingcupgrade/coordination/orders.rs
@@ -22,7 +22,7 @@
 };
 
 /// The timeout of a request to an engine.
-pub const ANSWER_TIME: Millis = Millis(800);
+pub const RESPONSE_TIMEOUT: Millis = Millis(800);
 /// The minimum time that must be left of the lease when an order is sent.
 const MIN_LEASE_LEFT: Millis = Millis(1_000);
 /// A new lease holder sends no orders for this long. Orders of the previous holder have arrived by
@@ -39,7 +39,7 @@
 
 /// Identifies a request to an engine. The term distinguishes requests of different lease holders.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AskId {
+pub struct EngineRequestId {
     /// The service of the pool.
     pub service: Service,
     /// The engine.
@@ -52,9 +52,9 @@
 
 /// A request to an engine.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct EngineRequest {
     /// The request's identifier.
-    pub id: AskId,
+    pub id: EngineRequestId,
     /// The engine's address.
     pub address: SocketAddr,
     /// The order to send; `None` to read the setup.
@@ -65,7 +65,7 @@
 
 /// The result of a request to an engine.
 #[derive(Clone, Debug)]
-pub enum EngineAnswer {
+pub enum EngineResponse {
     /// The engine's setup.
     Setup(EngineSetup),
     /// The engine accepted the order.
@@ -82,8 +82,8 @@
 #[derive(Clone, Debug)]
 pub enum OrderOutput {
     /// Send a request to an engine.
-    Ask(Ask),
-    /// The set of engines that may get no new requests changed; see [`OrderBook::held`].
+    Request(EngineRequest),
+    /// The set of engines that may get no new requests changed; see [`OrderReconciler::held`].
     HeldChanged,
     /// An engine's setup has changed, and it is cold.
     Changed(UpstreamName),
@@ -150,7 +150,7 @@
 
 /// Reconciles the engines of one pool with their orders while the pool's lease is held.
 #[derive(Clone, Debug)]
-pub struct OrderBook {
+pub struct OrderReconciler {
     service: Service,
     term: u64,
     lease_began: Millis,
@@ -160,10 +160,10 @@
     next_request: u64,
 }
 
-impl OrderBook {
+impl OrderReconciler {
     /// Creates the reconciler of a holder whose lease began at `now`.
-    pub fn new(now: Millis, service: Service, term: u64) -> OrderBook {
-        OrderBook {
+    pub fn new(now: Millis, service: Service, term: u64) -> OrderReconciler {
+        OrderReconciler {
             service,
             term,
             lease_began: now,
@@ -287,18 +287,19 @@
         if let Some(progress) = self.engines.get_mut(&upstream) {
             progress.outstanding = Some((number, now));
         }
-        let id = AskId { service: self.service.clone(), upstream, term: self.term, number };
+        let id =
+            EngineRequestId { service: self.service.clone(), upstream, term: self.term, number };
         let order = is_order.then(|| engine.order.clone());
-        let until = now + MIN_LEASE_LEFT.since(ANSWER_TIME);
-        out.push(OrderOutput::Ask(Ask { id, address: engine.address, order, until }));
+        let until = now + MIN_LEASE_LEFT.since(RESPONSE_TIMEOUT);
+        out.push(OrderOutput::Request(EngineRequest { id, address: engine.address, order, until }));
     }
 
     /// Handles the result of a request to an engine.
-    pub fn on_answer(
+    pub fn on_response(
         &mut self,
         now: Millis,
-        id: &AskId,
-        answer: EngineAnswer,
+        id: &EngineRequestId,
+        response: EngineResponse,
         out: &mut Vec<OrderOutput>,
     ) {
         let Some(progress) = self.engines.get_mut(&id.upstream) else { return };
@@ -311,8 +312,8 @@
         progress.outstanding = None;
         progress.failure = None;
         let before = progress.stage;
-        match answer {
-            EngineAnswer::Setup(setup) => {
+        match response {
+            EngineResponse::Setup(setup) => {
                 let (stage, delay) = match (setup.is(&progress.setup), setup.ready) {
                     (true, true) => (Stage::Applied, APPLIED_INTERVAL),
                     (true, false) => (Stage::Changing, CHANGING_INTERVAL),
@@ -329,18 +330,18 @@
                     out.push(OrderOutput::Changed(id.upstream.clone()));
                 }
             }
-            EngineAnswer::Accepted => {
+            EngineResponse::Accepted => {
                 progress.stage = Stage::Changing;
                 progress.next = now;
             }
-            EngineAnswer::Outdated => {
+            EngineResponse::Outdated => {
                 // A newer order is in force that has not reached this instance yet.
                 progress.stage = Stage::Unread;
                 progress.next = now + RETRY_DELAY;
                 progress.failure = Some("it has seen a newer order".to_owned());
             }
-            EngineAnswer::Unsupported => progress.stage = Stage::Unsupported,
-            EngineAnswer::Failed(err) => {
+            EngineResponse::Unsupported => progress.stage = Stage::Unsupported,
+            EngineResponse::Failed(err) => {
                 progress.next = now + RETRY_DELAY;
                 progress.failure = Some(err);
             }
--- a/src/kingcupgrade/transport/daemon.rs
+++ b/src/kingcupgrade/transport/daemon.rs
@@ -236,7 +236,7 @@
                     let _ = tx.send(reply);
                 }
             }
-            Output::AskEngine(ask) => engines::ask(self.clock, ask, self.events.clone()),
+            Output::EngineRequest(ask) => engines::ask(self.clock, ask, self.events.clone()),
             Output::Watch(services) => self.watch(services),
             Output::ViewChanged => {
                 let view = Arc::new(self.node.view().clone());
--- a/src/kingcupgrade/transport/engines.rs
+++ b/src/kingcupgrade/transport/engines.rs
@@ -6,7 +6,7 @@
 use crate::{
     coordination::{
         node::Input,
-        orders::{ANSWER_TIME, Ask, EngineAnswer},
+        orders::{EngineRequest, EngineResponse, RESPONSE_TIMEOUT},
     },
     core::clock::Clock,
     protocol::order::{ORDER_PATH, OrderRequest, SETUP_PATH, UpstreamOrder},
@@ -18,18 +18,18 @@
 const OUTDATED: u16 = 409;
 
 /// Asks an engine and tells the node its answer.
-pub fn ask(clock: Clock, ask: Ask, events: mpsc::Sender<Event>) {
+pub fn ask(clock: Clock, ask: EngineRequest, events: mpsc::Sender<Event>) {
     let run = move || {
         let answer = match &ask.order {
             // The thread may have begun late, and another instance may hold the lease by now.
             Some(_) if clock.now() >= ask.until => {
-                EngineAnswer::Failed("the order was not sent in time".to_owned())
+                EngineResponse::Failed("the order was not sent in time".to_owned())
             }
             Some(order) => send_order(&ask, order),
             None => read_setup(&ask),
         };
         // The node outlives this thread; only at the very end of the process nobody hears.
-        let _ = events.send(Event::Input(Input::EngineAnswered(ask.id, answer)));
+        let _ = events.send(Event::Input(Input::EngineResponded(ask.id, answer)));
     };
     // Without a thread there is no answer; the node asks again after a while.
     let _ = thread::Builder::new().name("engines".to_owned()).stack_size(STACK_LEN).spawn(run);
@@ -37,14 +37,14 @@
 
 fn agent() -> ureq::Agent {
     let config = ureq::Agent::config_builder()
-        .timeout_global(Some(ANSWER_TIME.as_duration()))
+        .timeout_global(Some(RESPONSE_TIMEOUT.as_duration()))
         .max_idle_connections(0)
         .http_status_as_error(false)
         .build();
     ureq::Agent::new_with_config(config)
 }
 
-fn send_order(ask: &Ask, order: &UpstreamOrder) -> EngineAnswer {
+fn send_order(ask: &EngineRequest, order: &UpstreamOrder) -> EngineResponse {
     let request = OrderRequest {
         number: order.index,
         model: order.setup.model.clone(),
@@ -55,25 +55,25 @@
     let url = format!("http://{}{ORDER_PATH}", ask.address);
     match agent().post(url).send(body) {
         Ok(response) => match response.status().as_u16() {
-            200..=299 => EngineAnswer::Accepted,
-            OUTDATED => EngineAnswer::Outdated,
-            404 | 405 => EngineAnswer::Unsupported,
-            status => EngineAnswer::Failed(format!("it refused the order with status {status}")),
+            200..=299 => EngineResponse::Accepted,
+            OUTDATED => EngineResponse::Outdated,
+            404 | 405 => EngineResponse::Unsupported,
+            status => EngineResponse::Failed(format!("it refused the order with status {status}")),
         },
-        Err(err) => EngineAnswer::Failed(err.to_string()),
+        Err(err) => EngineResponse::Failed(err.to_string()),
     }
 }
 
-fn read_setup(ask: &Ask) -> EngineAnswer {
+fn read_setup(ask: &EngineRequest) -> EngineResponse {
     let url = format!("http://{}{SETUP_PATH}", ask.address);
     let mut response = match agent().get(url).call() {
-        Ok(response) if response.status() == 404 => return EngineAnswer::Unsupported,
+        Ok(response) if response.status() == 404 => return EngineResponse::Unsupported,
         Ok(response) => response,
-        Err(err) => return EngineAnswer::Failed(err.to_string()),
+        Err(err) => return EngineResponse::Failed(err.to_string()),
     };
     let text = response.body_mut().read_to_string().unwrap_or_default();
     match serde_json::from_str(&text) {
-        Ok(setup) => EngineAnswer::Setup(setup),
-        Err(err) => EngineAnswer::Failed(format!("its setup can't be read: {err}")),
+        Ok(setup) => EngineResponse::Setup(setup),
+        Err(err) => EngineResponse::Failed(format!("its setup can't be read: {err}")),
     }
 }
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -10,7 +10,9 @@
     wait_until,
 };
 use kingcupgrade::{
-    coordination::orders::{Ask, EngineAnswer, EngineState, OrderBook, OrderOutput},
+    coordination::orders::{
+        EngineRequest, EngineResponse, EngineState, OrderOutput, OrderReconciler,
+    },
     core::{Code, Millis, UpstreamName},
     ops,
     protocol::{
@@ -222,9 +224,9 @@
     assert!(status.orders.is_empty());
 }
 
-/// A book that was asked to load `model`s on engines a and b, driven directly.
+/// A reconciler that was asked to load `model`s on engines a and b, driven directly.
 struct Drive {
-    book: OrderBook,
+    reconciler: OrderReconciler,
     orders: Vec<UpstreamOrder>,
     is_idle: bool,
 }
@@ -237,13 +239,13 @@
             index,
         };
         Drive {
-            book: OrderBook::new(Millis(0), "tutor".into(), 1),
+            reconciler: OrderReconciler::new(Millis(0), "tutor".into(), 1),
             orders: vec![order("a", 5), order("b", 6)],
             is_idle: true,
         }
     }
 
-    fn tick(&mut self, now: u64, lease_left: u64) -> Vec<Ask> {
+    fn tick(&mut self, now: u64, lease_left: u64) -> Vec<EngineRequest> {
         asks(self.tick_all(now, lease_left))
     }
 
@@ -252,30 +254,30 @@
         let engines =
             self.orders.iter().map(|order| EngineState { order, address, is_idle: self.is_idle });
         let mut out = Vec::new();
-        self.book.tick(Millis(now), Millis(now + lease_left), engines, &mut out);
+        self.reconciler.tick(Millis(now), Millis(now + lease_left), engines, &mut out);
         out
     }
 
-    fn answer(&mut self, now: u64, ask: &Ask, answer: EngineAnswer) {
-        self.book.on_answer(Millis(now), &ask.id, answer, &mut Vec::new());
+    fn answer(&mut self, now: u64, ask: &EngineRequest, answer: EngineResponse) {
+        self.reconciler.on_response(Millis(now), &ask.id, answer, &mut Vec::new());
     }
 
     fn held(&self) -> Vec<UpstreamName> {
-        self.book.held().cloned().collect()
+        self.reconciler.held().cloned().collect()
     }
 }
 
-fn asks(out: Vec<OrderOutput>) -> Vec<Ask> {
+fn asks(out: Vec<OrderOutput>) -> Vec<EngineRequest> {
     let asks = out.into_iter().filter_map(|output| match output {
-        OrderOutput::Ask(ask) => Some(ask),
+        OrderOutput::Request(ask) => Some(ask),
         _ => None,
     });
     asks.collect()
 }
 
-fn holding(model: &str, ready: bool) -> EngineAnswer {
+fn holding(model: &str, ready: bool) -> EngineResponse {
     let (model, role) = (model.to_owned(), "mixed".to_owned());
-    EngineAnswer::Setup(EngineSetup { model, role, drained: false, ready })
+    EngineResponse::Setup(EngineSetup { model, role, drained: false, ready })
 }
 
 // Two engines of a pool are ordered at once. Were both emptied together, a model that can't be
@@ -293,7 +295,7 @@
     let ordered = drive.tick(2_125, 1_800);
     assert_eq!(ordered.len(), 1);
     assert_eq!(ordered[0].order.as_ref().map(|order| order.index), Some(5));
-    drive.answer(2_130, &ordered[0], EngineAnswer::Accepted);
+    drive.answer(2_130, &ordered[0], EngineResponse::Accepted);
     let read = drive.tick(2_150, 1_800);
     drive.answer(2_160, &read[0], holding("second", false));
     assert_eq!(drive.held(), [UpstreamName::from("a")]);
@@ -314,7 +316,7 @@
     for ask in drive.tick(0, 1_800) {
         // The first is drained as ordered, the second is to load a model.
         let mut setup = holding("first", true);
-        if let EngineAnswer::Setup(told) = &mut setup {
+        if let EngineResponse::Setup(told) = &mut setup {
             told.drained = ask.id.upstream.as_str() == "a";
         }
         drive.answer(1, &ask, setup);
@@ -355,7 +357,7 @@
     assert_eq!(again.len(), 1);
     drive.answer(30, &early[0], holding("second", true));
     let stage = |drive: &Drive| {
-        let mut stages = drive.book.stages();
+        let mut stages = drive.reconciler.stages();
         stages.find(|(name, ..)| name.as_str() == "a").map(|(_, number, stage)| (number, stage))
     };
     assert_eq!(stage(&drive), Some((9, "not read yet".to_owned())));
