--- a/src/kingcupgrade/ops/found.rs
+++ b/src/kingcupgrade/ops/found.rs
@@ -29,13 +29,13 @@
     let controls = settings.with_role(Role::Control);
     let members: Vec<_> = controls.map(|peer| peer.instance.clone()).collect();
     let Some(backup) = backup else {
-        disk::found(folder, &settings.instance, &members)?;
+        disk::init(folder, &settings.instance, &members)?;
         return Ok(());
     };
     let (index, data) = read_backup(backup)?;
     let mut record = Record::decode(&data)?;
     let position = Position { term: 1, index: index + RESTORE_JUMP };
     record.restamp(position.index);
-    disk::found_from(folder, &settings.instance, &members, position, record.encode())?;
+    disk::init_from(folder, &settings.instance, &members, position, record.encode())?;
     Ok(())
 }
--- a/src/kingcupgrade/ops/verify.rs
+++ b/src/kingcupgrade/ops/verify.rs
@@ -39,7 +39,7 @@
         term: contents.stored.hard_state.term,
         snapshot_index: log.snapshot().position.index,
         last_index: log.last().index,
-        torn_bytes: contents.torn,
+        torn_bytes: contents.torn_bytes,
         members: log.members().0.to_vec(),
         keys: record.keys().len(),
     })
--- a/src/kingcupgrade/state/disk.rs
+++ b/src/kingcupgrade/state/disk.rs
@@ -52,7 +52,7 @@
     /// The stored state.
     pub stored: Stored,
     /// The length of a torn write at the end of the log, in bytes; it was never acknowledged.
-    pub torn: usize,
+    pub torn_bytes: usize,
 }
 
 /// Creates the data folder of an initial member of a new, empty record.
@@ -60,8 +60,8 @@
 /// # Errors
 ///
 /// Returns an error if the folder already holds a replica or can't be written.
-pub fn found(folder: &Path, instance: &Instance, members: &[Instance]) -> Result<(), CodedError> {
-    found_from(folder, instance, members, Position::default(), Vec::new())
+pub fn init(folder: &Path, instance: &Instance, members: &[Instance]) -> Result<(), CodedError> {
+    init_from(folder, instance, members, Position::default(), Vec::new())
 }
 
 /// Creates the data folder of an initial member of a record that starts from the given state.
@@ -69,14 +69,14 @@
 /// # Errors
 ///
 /// Returns an error if the folder already holds a replica or can't be written.
-pub fn found_from(
+pub fn init_from(
     folder: &Path,
     instance: &Instance,
     members: &[Instance],
     position: Position,
     data: Vec<u8>,
 ) -> Result<(), CodedError> {
-    if is_founded(folder) {
+    if is_initialised(folder) {
         let detail = format!("{} already holds a replica", folder.display());
         return Err(CodedError::new(Code::DataForeign, detail));
     }
@@ -90,7 +90,7 @@
 }
 
 /// Returns whether a folder holds a replica.
-pub fn is_founded(folder: &Path) -> bool {
+pub fn is_initialised(folder: &Path) -> bool {
     folder.join("identity").exists()
 }
 
@@ -110,7 +110,7 @@
         Err(err) => return Err(storage_failed(&path, &err)),
     };
     let (payloads, tail) = frames::decode(&bytes);
-    let torn = match tail {
+    let torn_bytes = match tail {
         Tail::Clean => 0,
         Tail::Torn(at) => bytes.len() - at,
         Tail::Corrupt(at) => return Err(corrupt(&path, at)),
@@ -124,7 +124,7 @@
             replay(record, &mut hard_state, &mut log).map_err(|()| corrupt(&path, 0))?;
         }
     }
-    Ok(Contents { id, stored: Stored { hard_state, log }, torn })
+    Ok(Contents { id, stored: Stored { hard_state, log }, torn_bytes })
 }
 
 /// Replays one log record. Fails if an entry does not follow the previous one, which means that a
@@ -162,9 +162,9 @@
         instance: &Instance,
         new_replica: u64,
     ) -> Result<(Disk, Contents), CodedError> {
-        if !is_founded(folder) {
+        if !is_initialised(folder) {
             fs::create_dir_all(folder).map_err(|err| storage_failed(folder, &err))?;
-            write_value(folder, "snapshot", Stored::founding(Vec::new()).log.snapshot())?;
+            write_value(folder, "snapshot", Stored::initial(Vec::new()).log.snapshot())?;
             write_value(folder, "identity", &ReplicaId(instance.clone(), new_replica))?;
         }
         let contents = read(folder)?;
@@ -173,7 +173,8 @@
             return Err(CodedError::new(Code::DataForeign, detail));
         }
         let path = folder.join("log");
-        let log = open_log(&path, contents.torn).map_err(|err| storage_failed(&path, &err))?;
+        let log =
+            open_log(&path, contents.torn_bytes).map_err(|err| storage_failed(&path, &err))?;
         sync_folder(folder).map_err(|err| storage_failed(folder, &err))?;
         let hard_state = contents.stored.hard_state.clone();
         Ok((Disk { folder: folder.to_owned(), log, hard_state }, contents))
@@ -242,11 +243,11 @@
     log.sync_data()
 }
 
-fn open_log(path: &Path, torn: usize) -> io::Result<File> {
+fn open_log(path: &Path, torn_bytes: usize) -> io::Result<File> {
     let log = OpenOptions::new().create(true).append(true).open(path)?;
-    if torn > 0 {
+    if torn_bytes > 0 {
         let len = log.metadata()?.len();
-        log.set_len(len.saturating_sub(torn as u64))?;
+        log.set_len(len.saturating_sub(torn_bytes as u64))?;
     }
     log.sync_all()?;
     Ok(log)
--- a/src/kingcupgrade/state/log.rs
+++ b/src/kingcupgrade/state/log.rs
@@ -40,7 +40,7 @@
 impl Stored {
     /// Returns the initial state of a record with the given members; without members, of a replica
     /// that waits to be added to a record.
-    pub fn founding(members: Vec<Member>) -> Stored {
+    pub fn initial(members: Vec<Member>) -> Stored {
         let snapshot = Snapshot { position: Position::default(), members, data: Vec::new() };
         Stored { hard_state: HardState::default(), log: Log::new(snapshot, []) }
     }
--- a/src/kingcupgrade/transport/daemon.rs
+++ b/src/kingcupgrade/transport/daemon.rs
@@ -96,8 +96,8 @@
     // Numbers up to the founding one are taken.
     let fresh = random::number()?.max(2);
     let (disk, contents) = Disk::open(folder, &settings.instance, fresh)?;
-    if contents.torn > 0 {
-        log::warning("torn-write-cut", &contents.torn);
+    if contents.torn_bytes > 0 {
+        log::warning("torn-write-cut", &contents.torn_bytes);
     }
     let seed = random::number()?;
     let control = ControlMachine::new(clock.now(), contents.id, contents.stored, seed)?;
--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -143,8 +143,8 @@
     let folder = settings.data.clone().context("a control instance needs a data folder")?;
     let instance = settings.instance();
     let seeds = settings.seed_instances();
-    if settings.is_first_start && seeds.contains(&instance) && !disk::is_founded(&folder) {
-        disk::found(&folder, &instance, &seeds)?;
+    if settings.is_first_start && seeds.contains(&instance) && !disk::is_initialised(&folder) {
+        disk::init(&folder, &instance, &seeds)?;
     }
     open_replica(settings, &folder, clock)
 }
@@ -157,8 +157,8 @@
     // Numbers up to the founding one are taken.
     let fresh = random::number()?.max(2);
     let (mut disk, contents) = Disk::open(folder, &settings.instance(), fresh)?;
-    if contents.torn > 0 {
-        log::warning("torn-write-cut", &contents.torn);
+    if contents.torn_bytes > 0 {
+        log::warning("torn-write-cut", &contents.torn_bytes);
     }
     disk.rewrite(&contents.stored.log)?;
     let seed = random::number()?;
--- a/tests/testsuite/disk.rs
+++ b/tests/testsuite/disk.rs
@@ -45,9 +45,9 @@
     LogEntry { index, term: 1, unix_ms: index, payload: Payload::Noop }
 }
 
-/// Founds a replica and writes entries 1 to `count`, each in a write of its own.
+/// Initialises a replica and writes entries 1 to `count`, each in a write of its own.
 fn filled(folder: &Path, count: u64) -> Log {
-    disk::found(folder, &instance(), &[instance()]).expect("a founded replica");
+    disk::init(folder, &instance(), &[instance()]).expect("an initialised replica");
     let (mut disk, contents) = Disk::open(folder, &instance(), 2).expect("an open folder");
     let mut log = contents.stored.log;
     for index in 1..=count {
@@ -69,14 +69,14 @@
         fs::write(&path, &bytes[..bytes.len() - cut]).expect("a shortened log");
         let contents = disk::read(folder.path()).expect("a readable folder");
         assert_eq!(contents.stored.log.last().index, 4);
-        assert!(contents.torn > 0);
+        assert!(contents.torn_bytes > 0);
     }
     let (mut disk, contents) = Disk::open(folder.path(), &instance(), 2).expect("an open folder");
     let mut log = contents.stored.log;
     log.push(entry(5));
     disk.write(vec![Persist::Entries(vec![entry(5)])], &log).expect("a write");
     let contents = disk::read(folder.path()).expect("a readable folder");
-    assert_eq!((contents.stored.log.last().index, contents.torn), (5, 0));
+    assert_eq!((contents.stored.log.last().index, contents.torn_bytes), (5, 0));
 }
 
 // A sector goes bad in the middle of the log. Cutting there would drop acknowledged entries
@@ -152,7 +152,7 @@
     assert_eq!(contents.stored.log.last().index, 3);
 }
 
-// A folder is mounted at the wrong instance, or founded twice.
+// A folder is mounted at the wrong instance, or initialised twice.
 #[test]
 fn a_foreign_folder_is_refused() {
     let folder = Folder::new();
@@ -160,6 +160,6 @@
     let err = Disk::open(folder.path(), &"control-1".into(), 2).expect_err("a refused folder");
     assert_eq!(err.code, Code::DataForeign);
     let err =
-        disk::found(folder.path(), &instance(), &[instance()]).expect_err("a second founding");
+        disk::init(folder.path(), &instance(), &[instance()]).expect_err("a second initialisation");
     assert_eq!(err.code, Code::DataForeign);
 }
--- a/tests/testsuite/isolation.rs
+++ b/tests/testsuite/isolation.rs
@@ -71,7 +71,7 @@
             let members = instances
                 .map(|instance| Member { id: ReplicaId(instance, FOUNDING_REPLICA), voter: true });
             let id = ReplicaId(settings.instance(), FOUNDING_REPLICA);
-            let stored = Stored::founding(members.collect());
+            let stored = Stored::initial(members.collect());
             let mut control = ControlMachine::new(Millis(0), id, stored, seed)
                 .expect("an empty state can be read");
             control.set_voter_target(CONTROLS);
--- a/tests/testsuite/members.rs
+++ b/tests/testsuite/members.rs
@@ -9,7 +9,7 @@
 
 fn leader() -> Consensus {
     let id = ReplicaId("a".into(), 1);
-    let founding = Stored::founding(vec![Member { id: id.clone(), voter: true }]);
+    let founding = Stored::initial(vec![Member { id: id.clone(), voter: true }]);
     let mut leader = Consensus::new(Millis(0), id, founding, 7);
     leader.tick(Millis(5_000), &mut Vec::new());
     assert!(leader.is_leader());
@@ -86,7 +86,7 @@
     let voters = ["a", "b", "c"].map(|name| ReplicaId(name.into(), 1));
     let founding: Vec<Member> =
         voters.iter().map(|id| Member { id: id.clone(), voter: true }).collect();
-    let mut leader = Consensus::new(Millis(0), voters[0].clone(), Stored::founding(founding), 7);
+    let mut leader = Consensus::new(Millis(0), voters[0].clone(), Stored::initial(founding), 7);
     let out = &mut Vec::new();
     leader.tick(Millis(5_000), out);
     for pre in [true, false] {
@@ -128,7 +128,7 @@
     let mut members: Vec<Member> =
         voters.iter().map(|id| Member { id: id.clone(), voter: true }).collect();
     members.push(Member { id: newcomer.clone(), voter: false });
-    let founding = Stored::founding(members);
+    let founding = Stored::initial(members);
     let mut leader = Consensus::new(Millis(0), voters[0].clone(), founding, 7);
     let out = &mut Vec::new();
     hello(&mut leader, Millis(4_000), 77);
--- a/tests/testsuite/model_fleet.rs
+++ b/tests/testsuite/model_fleet.rs
@@ -58,7 +58,7 @@
         Host {
             settings: Arc::new(settings(host, seeds)),
             replica,
-            disk: Stored::founding(members),
+            disk: Stored::initial(members),
             node: None,
             back_at: Some(0),
             cut_until: 0,
@@ -96,7 +96,7 @@
         self.replica = replica;
         self.disk = Stored {
             hard_state: HardState::default(),
-            log: Log::new(Stored::founding(Vec::new()).log.snapshot().clone(), []),
+            log: Log::new(Stored::initial(Vec::new()).log.snapshot().clone(), []),
         };
     }
 }
--- a/tests/testsuite/model_record.rs
+++ b/tests/testsuite/model_record.rs
@@ -83,7 +83,7 @@
         let members: Vec<Member> =
             ids.iter().map(|id| Member { id: id.clone(), voter: true }).collect();
         let replicas = ids.into_iter().map(|id| {
-            let Stored { hard_state, log } = Stored::founding(members.clone());
+            let Stored { hard_state, log } = Stored::initial(members.clone());
             Replica { id, disk: FakeDisk { hard_state, log }, running: None }
         });
         let mut cluster = Cluster {
@@ -318,7 +318,7 @@
     fn wipe(&mut self, n: usize) {
         let replica = &mut self.replicas[n];
         replica.id.1 += 1;
-        let Stored { hard_state, log } = Stored::founding(Vec::new());
+        let Stored { hard_state, log } = Stored::initial(Vec::new());
         replica.disk = FakeDisk { hard_state, log };
         replica.running = None;
         self.start(n);
--- a/tests/testsuite/roster.rs
+++ b/tests/testsuite/roster.rs
@@ -39,7 +39,7 @@
         ..fleet_settings()
     };
     let id = ReplicaId(settings.instance(), FOUNDING_REPLICA);
-    let founding = Stored::founding(vec![Member { id: id.clone(), voter: true }]);
+    let founding = Stored::initial(vec![Member { id: id.clone(), voter: true }]);
     let machine = ControlMachine::new(Millis(0), id, founding, 7).expect("a founded record");
     FleetNode::new(Arc::new(settings), Some(machine))
 }
--- a/tests/testsuite/stalls.rs
+++ b/tests/testsuite/stalls.rs
@@ -33,7 +33,7 @@
     /// Starts the replicas and waits for the first to lead.
     fn new() -> World {
         let members: Vec<Member> = (0..3).map(|n| Member { id: id(n), voter: true }).collect();
-        let replica = |n| Consensus::new(Millis(0), id(n), Stored::founding(members.clone()), 7);
+        let replica = |n| Consensus::new(Millis(0), id(n), Stored::initial(members.clone()), 7);
         let mut world = World {
             now: 0,
             replicas: (0..3).map(replica).collect(),
