--- a/src/kingcupgrade/coordination/node/operators.rs
+++ b/src/kingcupgrade/coordination/node/operators.rs
@@ -43,7 +43,7 @@
                     let revisions = control.record().revisions(&service).cloned().collect();
                     OperatorReply::History { revisions }
                 }
-                None => not_found("ask a control instance for the history"),
+                None => not_found("no replica of the record here; ask a control instance"),
             },
             OperatorRequest::Backup => match &mut self.control {
                 Some(control) if !control.is_member() => not_a_member(),
@@ -52,7 +52,7 @@
                     let (index, data) = control.backup();
                     OperatorReply::Backup(Backup { index, confirmed, data: to_hex(&data) })
                 }
-                None => not_found("ask a control instance for a backup"),
+                None => not_found("no replica of the record here; ask a control instance"),
             },
             OperatorRequest::Members => match &self.control {
                 Some(control) if !control.is_member() => not_a_member(),
@@ -60,7 +60,7 @@
                     members: control.consensus().members().to_vec(),
                     leader: control.consensus().leader().map(|leader| leader.0.clone()),
                 },
-                None => not_found("ask a control instance for the members"),
+                None => not_found("no replica of the record here; ask a control instance"),
             },
         };
         out.push(Output::Answer(ticket, reply));
@@ -117,5 +117,5 @@
 /// Returns the reply of a replica that is not a member of a record. Its state is empty because it
 /// has no record, which must not be taken for an empty record.
 fn not_a_member() -> OperatorReply {
-    not_found("this replica is no member of a record; ask another control instance")
+    not_found("this replica is not a member of a record; ask another control instance")
 }
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -143,8 +143,8 @@
         let dispatchers = if is_own_share { &mut self.shares } else { &mut self.dispatchers };
         if let Some(dispatcher) = dispatchers.get_mut(service) {
             let mut outputs = Vec::new();
-            let writer = message.origin.as_ref().unwrap_or(from);
-            dispatcher.on_message(now, writer, message.term, &message.body, &mut outputs);
+            let sender = message.origin.as_ref().unwrap_or(from);
+            dispatcher.on_message(now, sender, message.term, &message.body, &mut outputs);
             self.handle_dispatcher_outputs(now, service, outputs, out);
         } else if !is_own_share && message.origin.is_none() {
             self.forward(now, from, message, out);
@@ -204,9 +204,9 @@
             let known = dispatcher.known_holder(now, domain).cloned();
             known.or_else(|| self.guess_holder(now, service, domain))
         };
-        let addressed: Vec<(FailureDomain, Option<Instance>)> =
+        let recipients: Vec<(FailureDomain, Option<Instance>)> =
             domains.into_iter().map(|domain| (domain.clone(), holder(&domain))).collect();
-        for (domain, holder) in addressed {
+        for (domain, holder) in recipients {
             let Some(holder) = holder else { continue };
             let mut message = message.clone();
             message.pool.1 = domain;
--- a/src/kingcupgrade/coordination/orders.rs
+++ b/src/kingcupgrade/coordination/orders.rs
@@ -131,7 +131,7 @@
     index: u64,
     setup: Setup,
     stage: Stage,
-    next: Millis,
+    next_request_at: Millis,
     /// The number of the outstanding request and when it was sent.
     outstanding: Option<(u64, Millis)>,
     failure: Option<String>,
@@ -231,7 +231,7 @@
             index: order.index,
             setup: order.setup.clone(),
             stage: Stage::Unread,
-            next: now,
+            next_request_at: now,
             outstanding: None,
             failure: None,
         };
@@ -256,7 +256,7 @@
         if progress.outstanding.is_some_and(|(_, at)| now.since(at) > ABANDON_AFTER) {
             progress.outstanding = None;
         }
-        if progress.outstanding.is_some() || now < progress.next {
+        if progress.outstanding.is_some() || now < progress.next_request_at {
             return;
         }
         match progress.stage {
@@ -325,24 +325,24 @@
                     (false, _) => (Stage::Waiting, Millis::ZERO),
                 };
                 progress.stage = stage;
-                progress.next = now + delay;
+                progress.next_request_at = now + delay;
                 if before.is_change() && stage == Stage::Applied {
                     out.push(OrderOutput::Changed(id.upstream.clone()));
                 }
             }
             EngineResponse::Accepted => {
                 progress.stage = Stage::Changing;
-                progress.next = now;
+                progress.next_request_at = now;
             }
             EngineResponse::Outdated => {
                 // A newer order is in force that has not reached this instance yet.
                 progress.stage = Stage::Unread;
-                progress.next = now + RETRY_DELAY;
-                progress.failure = Some("it has seen a newer order".to_owned());
+                progress.next_request_at = now + RETRY_DELAY;
+                progress.failure = Some("the engine has seen a newer order".to_owned());
             }
             EngineResponse::Unsupported => progress.stage = Stage::Unsupported,
             EngineResponse::Failed(err) => {
-                progress.next = now + RETRY_DELAY;
+                progress.next_request_at = now + RETRY_DELAY;
                 progress.failure = Some(err);
             }
         }
