--- a/src/kingcupgrade/coordination/node/mod.rs
+++ b/src/kingcupgrade/coordination/node/mod.rs
@@ -94,7 +94,7 @@
     /// An engine answered a request, or failed to.
     EngineResponded(EngineRequestId, EngineResponse),
     /// A request from an operator arrived.
-    Asked(Ticket, OperatorRequest),
+    OperatorRequest(Ticket, OperatorRequest),
     /// The disk failed; the control replica must stop.
     StorageFailed(CodedError),
     /// The instance is to shut down.
@@ -131,7 +131,7 @@
     /// Answer a caller with the stored answer of an earlier request.
     Replay(RequestId, KeptAnswer),
     /// Reply to an operator.
-    Answer(Ticket, OperatorReply),
+    OperatorReply(Ticket, OperatorReply),
     /// Poll the platform for the upstreams of exactly these services from now on.
     Watch(BTreeSet<Service>),
     /// Send a request to an engine.
@@ -290,7 +290,7 @@
             Input::HungUp(id) => self.on_hang_up(now, id),
             Input::Listed(service, listing) => self.on_listed(now, &service, &listing, out),
             Input::EngineResponded(id, reply) => self.on_engine_response(now, &id, reply, out),
-            Input::Asked(ticket, request) => self.on_operator_request(now, ticket, request, out),
+            Input::OperatorRequest(ticket, request) => self.on_operator(now, ticket, request, out),
             Input::StorageFailed(err) => {
                 if let Some(control) = &mut self.control {
                     control.on_storage_failed(err);
--- a/src/kingcupgrade/coordination/node/operators.rs
+++ b/src/kingcupgrade/coordination/node/operators.rs
@@ -15,7 +15,7 @@
 };
 
 impl Node {
-    pub(super) fn on_operator_request(
+    pub(super) fn on_operator(
         &mut self,
         now: Millis,
         ticket: Ticket,
@@ -63,7 +63,7 @@
                 None => not_found("no replica of the record here; ask a control instance"),
             },
         };
-        out.push(Output::Answer(ticket, reply));
+        out.push(Output::OperatorReply(ticket, reply));
     }
 
     /// Returns the status of the instance.
--- a/src/kingcupgrade/coordination/node/record.rs
+++ b/src/kingcupgrade/coordination/node/record.rs
@@ -77,7 +77,7 @@
         match self.awaited.remove(&id) {
             Some(Awaited::Claim(request)) => self.on_claim_answer(now, request, reply, out),
             Some(Awaited::Operator(ticket)) => {
-                out.push(Output::Answer(ticket, OperatorReply::Changed { reply }));
+                out.push(Output::OperatorReply(ticket, OperatorReply::Changed { reply }));
             }
             Some(Awaited::Settle) | None => {}
         }
--- a/src/kingcupgrade/transport/daemon.rs
+++ b/src/kingcupgrade/transport/daemon.rs
@@ -170,7 +170,7 @@
                 let ticket = self.next_ticket;
                 self.next_ticket += 1;
                 self.operators.insert(ticket, tx);
-                self.handle(Input::Asked(ticket, request), out);
+                self.handle(Input::OperatorRequest(ticket, request), out);
             }
         }
     }
@@ -231,7 +231,7 @@
                     let _ = tx.send(Verdict::Replay(answer));
                 }
             }
-            Output::Answer(ticket, reply) => {
+            Output::OperatorReply(ticket, reply) => {
                 if let Some(tx) = self.operators.remove(&ticket) {
                     let _ = tx.send(reply);
                 }
@@ -260,6 +260,6 @@
     use crate::protocol::Message;
     matches!(
         output,
-        Output::Send(_, Message::Consensus(_) | Message::Record(_)) | Output::Answer(..)
+        Output::Send(_, Message::Consensus(_) | Message::Record(_)) | Output::OperatorReply(..)
     )
 }
