--- a/src/kingcupgrade/coordination/client.rs
+++ b/src/kingcupgrade/coordination/client.rs
@@ -44,7 +44,7 @@
     own: Instance,
     /// The control instances, in an order specific to this instance. If the order were the same for
     /// all, instances that leave one control instance would all move to the same next one, until
-    /// the whole fleet depended on it.
+    /// the whole fleet knew only what that one knows.
     controls: Vec<Instance>,
     neighbours: Vec<Instance>,
     /// The index in `controls` of the instance that proposals are sent to.
