--- a/src/kingcupgrade/coordination/consensus/members.rs
+++ b/src/kingcupgrade/coordination/consensus/members.rs
@@ -112,7 +112,7 @@
                 let members = self.members().to_vec();
                 return self.propose(now, unix_ms, Payload::Members(members), out);
             }
-            [] => return Err(refused(format!("{instance} is not a member"))),
+            [] => return Err(refused(format!("{instance} is no member"))),
             [member] => member.id.clone(),
             _ => {
                 return Err(refused(format!(
