--- a/src/kingcupgrade/coordination/orders.rs
+++ b/src/kingcupgrade/coordination/orders.rs
@@ -267,14 +267,12 @@
                 self.log_stage(name, out);
             }
             Stage::Draining if !may_order || !engine.is_idle => {}
-            Stage::Draining => self.send_request(now, engine, true, out),
-            Stage::Unread | Stage::Changing | Stage::Applied => {
-                self.send_request(now, engine, false, out)
-            }
+            Stage::Draining => self.send(now, engine, true, out),
+            Stage::Unread | Stage::Changing | Stage::Applied => self.send(now, engine, false, out),
         }
     }
 
-    fn send_request(
+    fn send(
         &mut self,
         now: Millis,
         engine: &EngineState<'_>,
--- a/src/kingcupgrade/coordination/shutdown.rs
+++ b/src/kingcupgrade/coordination/shutdown.rs
@@ -10,7 +10,7 @@
 
 /// How long the entry reports that it is not ready before it closes idle connections. The load
 /// balancer checks readiness once a second and acts on the second failed check.
-const NOT_READY_NOTICE: Millis = Millis(2_600);
+const NOTICE: Millis = Millis(2_600);
 /// The fraction of the grace period after which the process closes whatever is still open.
 const GRACE_FRACTION: f64 = 0.97;
 
@@ -64,9 +64,7 @@
     pub fn step(&mut self, now: Millis, is_idle: bool) -> DrainStage {
         self.stage = match self.stage {
             DrainStage::Serving => DrainStage::Serving,
-            DrainStage::NotReady if now.since(self.began) < NOT_READY_NOTICE => {
-                DrainStage::NotReady
-            }
+            DrainStage::NotReady if now.since(self.began) < NOTICE => DrainStage::NotReady,
             DrainStage::NotReady => DrainStage::Closing,
             DrainStage::Closing if is_idle || now >= self.ends_at => DrainStage::ListenerClosed,
             DrainStage::ListenerClosed if is_idle || now >= self.ends_at => DrainStage::Stopped,
--- a/src/kingcupgrade/state/record.rs
+++ b/src/kingcupgrade/state/record.rs
@@ -121,22 +121,20 @@
                 self.keys.settle(self.time, *id, key, settlement)
             }
             Command::ApplyDocument { change, service, base, text } => {
-                self.apply_once(change, |record| record.apply_document(index, service, *base, text))
+                self.run_once(change, |record| record.apply_document(index, service, *base, text))
             }
-            Command::SetDomain { change, domain, out } => self.apply_once(change, |record| {
+            Command::SetDomain { change, domain, out } => self.run_once(change, |record| {
                 let standing = Standing { name: domain.clone(), out: *out, index };
                 record.domains.insert(domain.clone(), standing);
                 record.accept(index, 0)
             }),
-            Command::SetLeaving { change, upstream, leaving } => {
-                self.apply_once(change, |record| {
-                    let standing = Standing { name: upstream.clone(), out: *leaving, index };
-                    record.upstreams.insert(upstream.clone(), standing);
-                    record.accept(index, 0)
-                })
-            }
+            Command::SetLeaving { change, upstream, leaving } => self.run_once(change, |record| {
+                let standing = Standing { name: upstream.clone(), out: *leaving, index };
+                record.upstreams.insert(upstream.clone(), standing);
+                record.accept(index, 0)
+            }),
             Command::Order { change, upstream, setup } => {
-                self.apply_once(change, |record| record.order(index, upstream, setup))
+                self.run_once(change, |record| record.order(index, upstream, setup))
             }
             Command::Replace(proposed) => self.replace(index, proposed),
             Command::Read => Reply::Whole(self.configuration.clone()),
@@ -151,7 +149,7 @@
     ///
     /// An operator that received no reply sends the change again. Without the stored reply, the
     /// resend would be refused for a revision conflict with itself.
-    fn apply_once(&mut self, change: &str, make: impl FnOnce(&mut Record) -> Reply) -> Reply {
+    fn run_once(&mut self, change: &str, make: impl FnOnce(&mut Record) -> Reply) -> Reply {
         if let Some((_, reply)) = self.changes.iter().find(|(known, _)| known == change) {
             return reply.clone();
         }
