--- a/src/kingcupgrade/coordination/node/mod.rs
+++ b/src/kingcupgrade/coordination/node/mod.rs
@@ -17,7 +17,7 @@
     decision::Decision,
     dispatcher::{Dispatcher, slots::Listed},
     entry::{Arrival, AttemptEnd, EntryMachine, RequestId},
-    lease::LeaseBook,
+    lease::LeaseManager,
     orders::{EngineRequest, EngineRequestId, EngineResponse, OrderReconciler},
     view::View,
 };
@@ -29,7 +29,7 @@
     protocol::{
         Message,
         operator::{OperatorReply, OperatorRequest},
-        record::{ClaimId, KeptAnswer, RequestKey},
+        record::{ClaimId, RequestKey, StoredAnswer},
     },
     state::log::{Log, Persist},
 };
@@ -83,7 +83,7 @@
         /// Time from sending the request to the first byte of the answer, in milliseconds.
         first_byte_ms: Option<u32>,
         /// The answer to store for the request key.
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredAnswer>,
     },
     /// The cost of a running request so far.
     Progressed(RequestId, u32),
@@ -129,7 +129,7 @@
         retry_after: Millis,
     },
     /// Answer a caller with the stored answer of an earlier request.
-    Replay(RequestId, KeptAnswer),
+    Replay(RequestId, StoredAnswer),
     /// Reply to an operator.
     OperatorReply(Ticket, OperatorReply),
     /// Poll the platform for the upstreams of exactly these services from now on.
@@ -166,7 +166,7 @@
     domain: FailureDomain,
     view: View,
     entry: Option<EntryMachine>,
-    leases: Option<LeaseBook>,
+    leases: Option<LeaseManager>,
     dispatchers: BTreeMap<Service, Dispatcher>,
     /// Orders to the engines of the pools this instance dispatches.
     orders: BTreeMap<Service, OrderReconciler>,
@@ -212,7 +212,7 @@
         let client = RecordClient::new(&instance, controls, neighbours);
         let entry = is_entry.then(|| EntryMachine::new(domain.clone(), incarnation));
         let leases = (is_entry && !settings.static_shares)
-            .then(|| LeaseBook::new(now, incarnation, instance, &domain, domain_entries));
+            .then(|| LeaseManager::new(now, incarnation, instance, &domain, domain_entries));
         Node {
             domain,
             view: View::default(),
@@ -383,7 +383,7 @@
 }
 
 fn not_found(detail: &str) -> OperatorReply {
-    OperatorReply::Failed(CodedError::new(Code::NothingThere, detail))
+    OperatorReply::Failed(CodedError::new(Code::NotFound, detail))
 }
 
 /// Returns the instances with the entry role in a failure domain.
--- a/src/kingcupgrade/coordination/node/requests.rs
+++ b/src/kingcupgrade/coordination/node/requests.rs
@@ -8,13 +8,13 @@
     coordination::{
         dispatcher::Dispatcher,
         entry::{Arrival, AttemptEnd, EntryMachine, EntryOutput, RequestId},
-        lease::LEASE,
+        lease::LEASE_DURATION,
         view::View,
     },
     core::{Code, Millis, Service},
     protocol::{
         Message, Pool,
-        record::{ClaimId, Command, KeptAnswer, Reply, Settlement},
+        record::{ClaimId, Command, Reply, Settlement, StoredAnswer},
     },
 };
 
@@ -40,7 +40,7 @@
         }
         let service = arrival.service.clone();
         self.run_entry(now, out, |entry, _, outputs| {
-            entry.arrive(now, arrival, &document, outputs);
+            entry.admit(now, arrival, &document, outputs);
         });
         self.ensure_sessions(now, &service, out);
     }
@@ -68,14 +68,16 @@
         };
         if let Some((instance, term)) = target {
             self.run_entry(now, out, |entry, _, outputs| {
-                entry.want_session(now, home, &instance, term, None, outputs);
+                entry.ensure_session(now, home, &instance, term, None, outputs);
             });
         }
         if self.settings.static_shares {
             return;
         }
-        let lacks_dispatcher =
-            self.entry.as_mut().is_some_and(|entry| entry.note_home(now, service, has_holder));
+        let lacks_dispatcher = self
+            .entry
+            .as_mut()
+            .is_some_and(|entry| entry.note_local_dispatcher(now, service, has_holder));
         if lacks_dispatcher && self.view.is_fresh(now) {
             self.request_from_other_domains(now, service, out);
         }
@@ -97,7 +99,7 @@
             self.run_entry(now, out, |entry, _, outputs| {
                 let known = entry.session_pools().find(|(p, _)| **p == pool);
                 let holder = known.map_or(guess, |(_, holder)| holder.clone());
-                entry.want_session(now, pool, &holder, 0, Some(now + LEASE), outputs);
+                entry.ensure_session(now, pool, &holder, 0, Some(now + LEASE_DURATION), outputs);
             });
         }
     }
@@ -198,7 +200,7 @@
         end: AttemptEnd,
         cost: u32,
         first_byte_ms: Option<u32>,
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredAnswer>,
         out: &mut Vec<Output>,
     ) {
         let mut entry_outputs = Vec::new();
--- a/src/kingcupgrade/coordination/orders.rs
+++ b/src/kingcupgrade/coordination/orders.rs
@@ -15,7 +15,7 @@
     net::SocketAddr,
 };
 
-use super::{decision::Decision, lease::LEASE};
+use super::{decision::Decision, lease::LEASE_DURATION};
 use crate::{
     core::{Millis, Service, UpstreamName},
     protocol::order::{EngineSetup, Setup, UpstreamOrder},
@@ -27,7 +27,7 @@
 const MIN_LEASE_LEFT: Millis = Millis(1_000);
 /// A new lease holder sends no orders for this long. Orders of the previous holder have arrived by
 /// then; one that is delayed longer is found by polling.
-const NEW_HOLDER_DELAY: Millis = LEASE;
+const NEW_HOLDER_DELAY: Millis = LEASE_DURATION;
 /// The polling interval of an engine that is changing.
 const CHANGING_INTERVAL: Millis = Millis(250);
 /// The polling interval of an engine whose setup matches its order.
@@ -312,7 +312,7 @@
         let before = progress.stage;
         match response {
             EngineResponse::Setup(setup) => {
-                let (stage, delay) = match (setup.is(&progress.setup), setup.ready) {
+                let (stage, delay) = match (setup.matches(&progress.setup), setup.ready) {
                     (true, true) => (Stage::Applied, APPLIED_INTERVAL),
                     (true, false) => (Stage::Changing, CHANGING_INTERVAL),
                     // The engine left its ordered setup. Its answers may come from another model,
--- a/src/kingcupgrade/ops/mod.rs
+++ b/src/kingcupgrade/ops/mod.rs
@@ -1,12 +1,12 @@
-//! What the programs do, one function for each operation.
+//! The operations of the programs, one function each.
 //!
-//! The binaries read their command line and call one of these, so that an embedding program or a
-//! test can do the same without a command line.
+//! The binaries parse their command line and call one of these functions. Embedding programs and
+//! tests can call them without a command line.
 
 mod backup;
 mod explain;
 mod fleet;
-mod found;
+mod init;
 mod operator;
 mod serve;
 mod verify;
@@ -14,7 +14,7 @@
 pub use backup::{BackupInfo, backup};
 pub use explain::{Explanation, LogLine, explain};
 pub use fleet::serve_fleet;
-pub use found::found;
-pub use operator::{OperatorClient, coded, fresh_change_id};
+pub use init::init;
+pub use operator::{OperatorClient, coded_error, fresh_change_id};
 pub use serve::serve;
-pub use verify::{Verified, verify};
+pub use verify::{DataFolderSummary, verify};
--- a/src/kingcupgrade/state/keys.rs
+++ b/src/kingcupgrade/state/keys.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     core::{Code, Millis, Organisation, code::CodedError},
-    protocol::record::{ClaimId, KeptAnswer, Reply, RequestKey, Settlement},
+    protocol::record::{ClaimId, Reply, RequestKey, Settlement, StoredAnswer},
 };
 
 /// How long a key is kept after its request ended, by the record's clock.
@@ -31,7 +31,7 @@
     #[serde(rename = "c")]
     Claimed(ClaimId, Millis),
     #[serde(rename = "d")]
-    Done(KeptAnswer),
+    Done(StoredAnswer),
     #[serde(rename = "u")]
     Unknown,
 }
@@ -115,7 +115,7 @@
     }
 
     /// Drops the body of an answer that exceeds the limits.
-    fn limit_body(&self, key: &RequestKey, answer: &KeptAnswer) -> KeptAnswer {
+    fn limit_body(&self, key: &RequestKey, answer: &StoredAnswer) -> StoredAnswer {
         let used = self.usage.get(&key.organisation).map_or(0, |usage| usage.bytes);
         let mut answer = answer.clone();
         let len = answer.body.as_ref().map_or(0, String::len);
--- a/src/kingcupgrade/state/record.rs
+++ b/src/kingcupgrade/state/record.rs
@@ -14,7 +14,9 @@
     protocol::{
         consensus::{LogEntry, Payload},
         order::{SetupChange, UpstreamOrder},
-        record::{Command, RecordMessage, Reply, Standing, StoredConfiguration, StoredDocument},
+        record::{
+            Availability, Command, RecordMessage, Reply, StoredConfiguration, StoredDocument,
+        },
     },
 };
 
@@ -35,9 +37,9 @@
     #[serde(rename = "d")]
     documents: BTreeMap<Service, VecDeque<StoredDocument>>,
     #[serde(rename = "f")]
-    domains: BTreeMap<FailureDomain, Standing<FailureDomain>>,
+    domains: BTreeMap<FailureDomain, Availability<FailureDomain>>,
     #[serde(rename = "u")]
-    upstreams: BTreeMap<UpstreamName, Standing<UpstreamName>>,
+    upstreams: BTreeMap<UpstreamName, Availability<UpstreamName>>,
     #[serde(rename = "o", default)]
     orders: BTreeMap<UpstreamName, UpstreamOrder>,
     #[serde(rename = "h", default)]
@@ -82,8 +84,8 @@
         for stored in self.documents.values_mut().filter_map(VecDeque::back_mut) {
             stored.index = index;
         }
-        self.domains.values_mut().for_each(|standing| standing.index = index);
-        self.upstreams.values_mut().for_each(|standing| standing.index = index);
+        self.domains.values_mut().for_each(|availability| availability.index = index);
+        self.upstreams.values_mut().for_each(|availability| availability.index = index);
         self.orders.values_mut().for_each(|order| order.index = index);
         if let Some(stored) = &mut self.configuration {
             stored.index = index;
@@ -124,20 +126,20 @@
                 self.run_once(change, |record| record.apply_document(index, service, *base, text))
             }
             Command::SetDomain { change, domain, out } => self.run_once(change, |record| {
-                let standing = Standing { name: domain.clone(), out: *out, index };
-                record.domains.insert(domain.clone(), standing);
+                let availability = Availability { name: domain.clone(), out: *out, index };
+                record.domains.insert(domain.clone(), availability);
                 record.accept(index, 0)
             }),
             Command::SetLeaving { change, upstream, leaving } => self.run_once(change, |record| {
-                let standing = Standing { name: upstream.clone(), out: *leaving, index };
-                record.upstreams.insert(upstream.clone(), standing);
+                let availability = Availability { name: upstream.clone(), out: *leaving, index };
+                record.upstreams.insert(upstream.clone(), availability);
                 record.accept(index, 0)
             }),
             Command::Order { change, upstream, setup } => {
                 self.run_once(change, |record| record.order(index, upstream, setup))
             }
             Command::Replace(proposed) => self.replace(index, proposed),
-            Command::Read => Reply::Whole(self.configuration.clone()),
+            Command::Read => Reply::Configuration(self.configuration.clone()),
             // Membership changes have log entries of their own; this command never reaches the log.
             Command::ChangeMembers { .. } => {
                 Reply::Refused(CodedError::new(Code::MemberRefused, "not a change of the record"))
@@ -241,7 +243,11 @@
             domains: self.domains.values().filter(|s| s.index > have).cloned().collect(),
             upstreams: self.upstreams.values().filter(|s| s.index > have).cloned().collect(),
             orders: self.orders.values().filter(|o| o.index > have).cloned().collect(),
-            whole: self.configuration.as_ref().filter(|stored| stored.index > have).cloned(),
+            configuration: self
+                .configuration
+                .as_ref()
+                .filter(|stored| stored.index > have)
+                .cloned(),
         }
     }
 }
--- a/tests/testsuite/listing.rs
+++ b/tests/testsuite/listing.rs
@@ -3,7 +3,7 @@
 use kingcupgrade::{
     coordination::listing::{KnownListing, ListingDuty, ListingPlan, Neighbours},
     core::{Instance, Millis},
-    protocol::fleet::{ListedUpstream, ListingNews},
+    protocol::fleet::{ListedUpstream, ListingUpdate},
 };
 
 fn entries(count: usize) -> Vec<Instance> {
@@ -183,7 +183,7 @@
         slots: 6,
         is_ready,
         cold: Millis::ZERO,
-        born: 1,
+        started_unix_ms: 1,
     }
 }
 
@@ -204,12 +204,12 @@
     let first = reader.on_read(own, 1_000, all(&["a", "b", "c"]));
     assert!(hearer.on_news(first));
     let same = reader.on_read(own, 2_000, all(&["a", "b", "c"]));
-    assert!(same.changed.is_empty() && same.gone.is_empty());
+    assert!(same.changed.is_empty() && same.removed.is_empty());
     assert!(hearer.on_news(same));
     let mut read = all(&["a", "d"]);
     read[0].is_ready = false;
     let news = reader.on_read(own, 3_000, read.clone());
-    assert_eq!((news.changed.len(), news.gone.len()), (2, 2));
+    assert_eq!((news.changed.len(), news.removed.len()), (2, 2));
     assert!(hearer.on_news(news));
     assert_eq!(names(&hearer), ["a", "d"]);
     assert_eq!(hearer.upstreams().cloned().collect::<Vec<_>>(), read);
@@ -233,7 +233,7 @@
     let mut restarted = KnownListing::default();
     restarted.on_read(&readers[0], 2_500, all(&["x"]));
     assert!(!hearer.on_news(restarted.on_read(&readers[0], 2_600, all(&["x", "y"]))));
-    let other: ListingNews = restarted.on_read(&readers[1], 2_700, all(&["x"]));
+    let other: ListingUpdate = restarted.on_read(&readers[1], 2_700, all(&["x"]));
     assert_eq!(other.base, 0, "a new reader tells the whole list");
     assert!(hearer.on_news(other));
     assert_eq!(names(&hearer), ["x"]);
--- a/tests/testsuite/model_fleet.rs
+++ b/tests/testsuite/model_fleet.rs
@@ -13,12 +13,12 @@
     },
     core::{
         Instance, Millis,
-        fleet::{FleetSettings, name_of},
+        fleet::{FleetSettings, instance_name},
         settings::Role,
     },
     protocol::{
         Message,
-        consensus::{FOUNDING_REPLICA, Member, ReplicaId},
+        consensus::{INITIAL_REPLICA, Member, ReplicaId},
         record::{Command, Reply, StoredConfiguration},
     },
     state::log::{HardState, Log, Persist, Stored},
@@ -125,15 +125,15 @@
 impl World {
     fn new(seed: u64) -> World {
         let seeds: Vec<IpAddr> = (0..SEEDS).map(ip).collect();
-        let instances = seeds.iter().map(|ip| name_of(Role::Control, *ip));
+        let instances = seeds.iter().map(|ip| instance_name(Role::Control, *ip));
         let members: Vec<Member> = instances
-            .map(|instance| Member { id: ReplicaId(instance, FOUNDING_REPLICA), voter: true })
+            .map(|instance| Member { id: ReplicaId(instance, INITIAL_REPLICA), voter: true })
             .collect();
         World {
             now: 0,
             random: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
             hosts: (0..SEEDS)
-                .map(|h| Host::new(h, seeds.clone(), members.clone(), FOUNDING_REPLICA))
+                .map(|h| Host::new(h, seeds.clone(), members.clone(), INITIAL_REPLICA))
                 .collect(),
             wire: Vec::new(),
             asked: BTreeMap::new(),
@@ -303,7 +303,7 @@
                 self.acknowledged = self.acknowledged.max(version);
                 self.acknowledgements += 1;
             }
-            (Some(Asked::Read { acknowledged }), Reply::Whole(whole)) => {
+            (Some(Asked::Read { acknowledged }), Reply::Configuration(whole)) => {
                 let version = whole.as_ref().map_or(0, |whole| whole.version);
                 assert!(version >= acknowledged, "read {version} after {acknowledged}");
                 if let Some(whole) = whole {
