--- a/src/kingcupgrade/transport/gateway/caller/telling.rs
+++ b/src/kingcupgrade/transport/gateway/request/reporting.rs
@@ -1,34 +1,34 @@
-//! What is told of one caller's request: where it was sent, how it went, why it was given up.
+//! Logging and metrics of a caller's request: its placement, its latency, or its failure.
 
 use http::Response;
 
-use super::{Caller, LastSend, Progress};
+use super::{LastSend, Progress, ProxiedRequest};
 use crate::{
     coordination::traffic::Grant,
     core::{Code, Millis},
     transport::gateway::{
-        answer::{AnswerBody, refusal},
-        course::{Answered, Times},
-        decisions::{GivenUp, Placed},
-        edge::Edge,
+        adapter::PlatformAdapter,
+        decisions::{FailureLine, PlacementLine},
+        latency::{LateResponseLine, Times},
+        response::{ResponseBody, error_response},
     },
 };
 
-impl<E: Edge> Caller<E> {
-    /// Tells that an answer is cut after it had begun.
-    pub(in crate::transport::gateway) fn tell_broken_off(&self, code: Code) {
+impl<E: PlatformAdapter> ProxiedRequest<E> {
+    /// Logs that a response was truncated after it had begun.
+    pub(in crate::transport::gateway) fn report_truncated(&self, code: Code) {
         let progress = self.progress.borrow();
-        self.gateway.decisions.broken_off(code, &self.given_up(code, Millis::ZERO, &progress));
+        self.gateway.decisions.truncated(code, &self.failure_line(code, Millis::ZERO, &progress));
     }
 
-    /// Notes that the first byte of the answer came.
+    /// Records the arrival of the first byte of the response.
     pub(in crate::transport::gateway) fn on_first_byte(&self) {
         let now = self.gateway.now();
         self.progress.borrow_mut().first_byte.get_or_insert(now);
     }
 
-    /// Tells of a whole answer how it went.
-    pub(in crate::transport::gateway) fn tell_answered(&self, longest_pause: Millis) {
+    /// Records the latency of a complete response, and logs it if it was late.
+    pub(in crate::transport::gateway) fn report_answered(&self, longest_pause: Millis) {
         let progress = self.progress.borrow();
         let (Some(sent), Some(first_byte)) = (&progress.sent, progress.first_byte) else { return };
         let times = Times {
@@ -43,9 +43,9 @@
         };
         self.gateway.decisions.answered(
             &times,
-            &Answered {
+            &LateResponseLine {
                 request: self.request_id.as_deref(),
-                judgement: times.judge(),
+                judgement: times.classify(),
                 route: &self.route.name,
                 organisation: self.organisation.as_ref(),
                 upstream: &sent.upstream,
@@ -60,13 +60,13 @@
         );
     }
 
-    fn given_up<'a>(
+    fn failure_line<'a>(
         &'a self,
         code: Code,
         retry_after_ms: Millis,
         progress: &'a Progress,
-    ) -> GivenUp<'a> {
-        GivenUp {
+    ) -> FailureLine<'a> {
+        FailureLine {
             request: self.request_id.as_deref(),
             code: code.number(),
             route: Some(&self.route.name),
@@ -78,7 +78,8 @@
         }
     }
 
-    pub(super) fn tell_placed(&self, grant: &Grant) {
+    /// Logs the upstream chosen for an attempt.
+    pub(super) fn report_placed(&self, grant: &Grant) {
         let now = self.gateway.now();
         let expected = Millis(grant.basis.expected_ms);
         let mut progress = self.progress.borrow_mut();
@@ -87,7 +88,7 @@
         }
         drop(progress);
         let version = self.gateway.traffic.borrow().configuration().map_or(0, |c| c.version);
-        self.gateway.decisions.placed(&Placed {
+        self.gateway.decisions.placed(&PlacementLine {
             request: self.request_id.as_deref(),
             route: &self.route.name,
             organisation: self.organisation.as_ref(),
@@ -100,10 +101,11 @@
         });
     }
 
-    pub(super) fn refuse(&self, code: Code, retry_after: Millis) -> Response<AnswerBody<E>> {
+    /// Logs the refusal of the request, and builds the response.
+    pub(super) fn refuse(&self, code: Code, retry_after: Millis) -> Response<ResponseBody<E>> {
         let progress = self.progress.borrow();
-        self.gateway.decisions.refused(code, &self.given_up(code, retry_after, &progress));
+        self.gateway.decisions.refused(code, &self.failure_line(code, retry_after, &progress));
         drop(progress);
-        refusal(&*self.gateway.edge, code, retry_after, self.request_id.as_deref())
+        error_response(&*self.gateway.adapter, code, retry_after, self.request_id.as_deref())
     }
 }
