--- a/src/kingcupgrade/state/record.rs
+++ b/src/kingcupgrade/state/record.rs
@@ -211,7 +211,7 @@
         match Document::parse(text) {
             Ok(document) if document.service == *service => {}
             Ok(_) => {
-                let detail = format!("the document is for another service than {service}");
+                let detail = format!("the document is not of {service}");
                 return Reply::Refused(CodedError::new(Code::DocumentInvalid, detail));
             }
             Err(err) => return Reply::Refused(err),
