--- a/src/kingcupgrade/state/record.rs
+++ b/src/kingcupgrade/state/record.rs
@@ -150,7 +150,8 @@
     /// Applies a change, or returns its first reply again if it is a resend.
     ///
     /// An operator that received no reply sends the change again. Without the stored reply, the
-    /// resend would be refused for a revision conflict with itself.
+    /// resend would be refused for a revision conflict with itself. The replies are part of the
+    /// replicated state, so the texts of refusals in them must not differ between versions.
     fn run_once(&mut self, change: &str, make: impl FnOnce(&mut Record) -> Reply) -> Reply {
         if let Some((_, reply)) = self.changes.iter().find(|(known, _)| known == change) {
             return reply.clone();
