--- a/tests/testsuite/model_record.rs
+++ b/tests/testsuite/model_record.rs
@@ -1,8 +1,8 @@
-//! The replicas of the record, driven message by message under random faults.
+//! Simulates the replicas of the record under random faults.
 //!
-//! Messages are lost, doubled and overtake each other; replicas crash before and after their disk
-//! has synced, and start again from what it holds. With losses, disks are lost as well, one after
-//! the other, and an operator adds and removes members at any moment.
+//! Messages are lost, duplicated and reordered; replicas crash before and after a disk sync, and
+//! restart from the synced state. With `with_disk_losses`, disks are also lost one after another,
+//! and an operator adds and removes members at any time.
 
 use std::collections::BTreeMap;
 
@@ -20,13 +20,14 @@
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 
-const STEP: u64 = 10;
-const FAULTY: u64 = 30_000;
-const SETTLING: u64 = 8_000;
-/// A lost disk is repaired within: a hello, a learner that catches up, two changes of members.
-const REPAIRING: u64 = 20_000;
+const STEP_MS: u64 = 10;
+const FAULT_PERIOD_MS: u64 = 30_000;
+const RECOVERY_PERIOD_MS: u64 = 8_000;
+/// The time within which a lost disk is repaired: the empty replica announces itself, catches up
+/// as a learner, and two membership changes are committed.
+const REPAIR_PERIOD_MS: u64 = 20_000;
 
-/// A disk that holds what was synced.
+/// An in-memory disk that holds the synced state.
 #[derive(Clone)]
 struct FakeDisk {
     hard_state: HardState,
@@ -60,24 +61,25 @@
     replicas: Vec<Replica>,
     network: BTreeMap<(u64, u64), ConsensusMessage>,
     sent: u64,
-    faulty: bool,
-    /// Whether disks are lost and members changed.
-    with_losses: bool,
-    losses: u32,
-    /// A bit for each instance; those with different ones don't hear each other.
-    sides: u64,
-    /// The entry applied at each index, by whichever replica came first.
+    faults_enabled: bool,
+    /// Whether disks are lost and members added and removed.
+    with_disk_losses: bool,
+    disk_losses: u32,
+    /// The partition's side of each replica, one bit per replica. Messages between replicas with
+    /// different bits are dropped.
+    partition_sides: u64,
+    /// The entry that the first replica to apply each index applied there.
     applied: BTreeMap<u64, LogEntry>,
-    /// The leader seen in each term.
+    /// The leader observed in each term.
     leaders: BTreeMap<u64, ReplicaId>,
-    /// Who was told that a key is theirs.
-    claimed: BTreeMap<String, ClaimId>,
+    /// The claim that was granted each request key.
+    claims: BTreeMap<String, ClaimId>,
     accepted: BTreeMap<(String, u64), u64>,
-    next: u64,
+    next_number: u64,
 }
 
 impl Cluster {
-    fn new(seed: u64, size: usize, with_losses: bool) -> Cluster {
+    fn new(seed: u64, size: usize, with_disk_losses: bool) -> Cluster {
         let ids: Vec<ReplicaId> =
             (0..size).map(|n| ReplicaId(format!("control-{n}").as_str().into(), 1)).collect();
         let members: Vec<Member> =
@@ -92,15 +94,15 @@
             replicas: replicas.collect(),
             network: BTreeMap::new(),
             sent: 0,
-            faulty: true,
-            with_losses,
-            losses: 0,
-            sides: 0,
+            faults_enabled: true,
+            with_disk_losses,
+            disk_losses: 0,
+            partition_sides: 0,
             applied: BTreeMap::new(),
             leaders: BTreeMap::new(),
-            claimed: BTreeMap::new(),
+            claims: BTreeMap::new(),
             accepted: BTreeMap::new(),
-            next: 1,
+            next_number: 1,
         };
         for n in 0..size {
             cluster.start(n);
@@ -108,7 +110,7 @@
         cluster
     }
 
-    fn below(&mut self, bound: u64) -> u64 {
+    fn random_below(&mut self, bound: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
@@ -116,7 +118,7 @@
     }
 
     fn start(&mut self, n: usize) {
-        let seed = self.below(u64::MAX);
+        let seed = self.random_below(u64::MAX);
         let now = Millis(self.now);
         let replica = &mut self.replicas[n];
         let FakeDisk { hard_state, log } = replica.disk.clone();
@@ -130,12 +132,12 @@
         n: usize,
         act: impl FnOnce(&mut Consensus, &mut Vec<ConsensusOutput>),
     ) -> Result<(), TestCaseError> {
-        let crash = if self.faulty { self.below(1_500) } else { u64::MAX };
+        let crash = if self.faults_enabled { self.random_below(1_500) } else { u64::MAX };
         let Some((consensus, _)) = &mut self.replicas[n].running else { return Ok(()) };
         let mut outputs = Vec::new();
         act(consensus, &mut outputs);
         if crash == 0 {
-            // Before the sync: nothing of this turn is on disk, and nothing of it was said.
+            // Crash before the sync: none of these outputs is on disk or was sent.
             self.replicas[n].running = None;
             return Ok(());
         }
@@ -147,20 +149,20 @@
             }
         }
         if crash == 1 {
-            // After the sync: all of it is on disk, and nothing of it was said.
+            // Crash after the sync: all writes are on disk, and no message was sent.
             self.replicas[n].running = None;
             return Ok(());
         }
         for output in rest {
-            self.carry_out(n, output)?;
+            self.process_output(n, output)?;
         }
         self.check_leader(n)
     }
 
-    fn carry_out(&mut self, n: usize, output: ConsensusOutput) -> Result<(), TestCaseError> {
+    fn process_output(&mut self, n: usize, output: ConsensusOutput) -> Result<(), TestCaseError> {
         match output {
             ConsensusOutput::Persist(_) => {}
-            ConsensusOutput::Send(message) => self.post(&message),
+            ConsensusOutput::Send(message) => self.send(&message),
             ConsensusOutput::Apply(entry) => self.apply(n, &entry)?,
             ConsensusOutput::Restore(snapshot) => self.restore(n, &snapshot),
         }
@@ -176,14 +178,18 @@
 
     fn apply(&mut self, n: usize, entry: &LogEntry) -> Result<(), TestCaseError> {
         let first = self.applied.entry(entry.index).or_insert_with(|| entry.clone());
-        prop_assert!(first == entry, "two entries were final at {}", entry.index);
+        prop_assert!(
+            first == entry,
+            "two different entries were committed at index {}",
+            entry.index
+        );
         let Some((_, record)) = &mut self.replicas[n].running else { return Ok(()) };
         let reply = record.apply(entry);
         let Payload::Command(command) = &entry.payload else { return Ok(()) };
         match (command, reply) {
             (Command::Claim { id, key, .. }, Some(Reply::Claimed)) => {
-                let owner = self.claimed.entry(key.key.clone()).or_insert(*id);
-                prop_assert!(owner == id, "{} was given to two claimers", key.key);
+                let owner = self.claims.entry(key.key.clone()).or_insert(*id);
+                prop_assert!(owner == id, "{} was granted to two claims", key.key);
             }
             (Command::SetDomain { change, .. }, Some(Reply::Accepted { index, .. })) => {
                 let known = self.accepted.entry((change.clone(), 0)).or_insert(index);
@@ -204,26 +210,26 @@
         Ok(())
     }
 
-    fn post(&mut self, message: &ConsensusMessage) {
+    fn send(&mut self, message: &ConsensusMessage) {
         if message.to.1 == 0 {
-            // For all control instances.
+            // Replica number 0 addresses all control instances.
             for to in self.replicas.iter().map(|replica| replica.id.clone()).collect::<Vec<_>>() {
-                self.post(&ConsensusMessage { to, ..message.clone() });
+                self.send(&ConsensusMessage { to, ..message.clone() });
             }
             return;
         }
-        let copies = if !self.faulty {
+        let copies = if !self.faults_enabled {
             1
         } else {
-            match self.below(100) {
+            match self.random_below(100) {
                 0..8 => 0,
                 8..12 => 2,
                 _ => 1,
             }
         };
         for _ in 0..copies {
-            let slow = self.faulty && self.below(20) == 0;
-            let delay = if slow { self.below(2_000) } else { 1 + self.below(30) };
+            let slow = self.faults_enabled && self.random_below(20) == 0;
+            let delay = if slow { self.random_below(2_000) } else { 1 + self.random_below(30) };
             self.sent += 1;
             self.network.insert((self.now + delay, self.sent), message.clone());
         }
@@ -235,7 +241,7 @@
             let place = |id: &ReplicaId| self.replicas.iter().position(|r| r.id == *id);
             let (from, to) = (place(&message.from), place(&message.to));
             let (Some(from), Some(to)) = (from, to) else { continue };
-            if (self.sides >> from ^ self.sides >> to) & 1 == 1 {
+            if (self.partition_sides >> from ^ self.partition_sides >> to) & 1 == 1 {
                 continue;
             }
             let now = Millis(self.now);
@@ -245,13 +251,13 @@
     }
 
     fn propose(&mut self) -> Result<(), TestCaseError> {
-        let n = self.below(self.replicas.len() as u64) as usize;
-        self.next += 1;
-        // Few keys and few changes, so that many proposals race for the same one.
-        let subject = self.below(200);
-        let command = if self.below(2) == 0 {
+        let n = self.random_below(self.replicas.len() as u64) as usize;
+        self.next_number += 1;
+        // Keys and changes are drawn from a small range, so that many proposals conflict.
+        let subject = self.random_below(200);
+        let command = if self.random_below(2) == 0 {
             Command::Claim {
-                id: ClaimId(n as u64, self.next),
+                id: ClaimId(n as u64, self.next_number),
                 key: RequestKey {
                     service: "orders".into(),
                     organisation: "alder".into(),
@@ -269,13 +275,13 @@
         };
         let now = Millis(self.now);
         self.drive(n, |consensus, out| {
-            // Refused unless it leads.
+            // Only the leader accepts proposals; a refusal is expected.
             let _ = consensus.propose(now, now.0, Payload::Command(command), out);
         })
     }
 
     fn compact(&mut self) -> Result<(), TestCaseError> {
-        let n = self.below(self.replicas.len() as u64) as usize;
+        let n = self.random_below(self.replicas.len() as u64) as usize;
         let Some((consensus, record)) = &mut self.replicas[n].running else { return Ok(()) };
         if consensus.log().len() < 30 {
             return Ok(());
@@ -284,37 +290,40 @@
         self.drive(n, |consensus, out| consensus.compact(data, out))
     }
 
-    fn inject(&mut self) {
-        let n = self.below(self.replicas.len() as u64) as usize;
-        match self.below(800) {
+    fn inject_faults(&mut self) {
+        let n = self.random_below(self.replicas.len() as u64) as usize;
+        match self.random_below(800) {
             0..8 if self.replicas[n].running.is_none() => self.start(n),
-            8 if self.with_losses => self.sides = self.below(1 << self.replicas.len()),
-            8 => self.sides = 1 << n,
-            9..12 => self.sides = 0,
+            8 if self.with_disk_losses => {
+                self.partition_sides = self.random_below(1 << self.replicas.len())
+            }
+            8 => self.partition_sides = 1 << n,
+            9..12 => self.partition_sides = 0,
             _ => {}
         }
     }
 
-    /// Returns the members as of the last final entry that set them.
-    fn final_members(&self) -> Option<&[Member]> {
+    /// Returns the members set by the last committed membership entry.
+    fn committed_members(&self) -> Option<&[Member]> {
         self.applied.values().rev().find_map(|entry| match &entry.payload {
             Payload::Members(members) => Some(members.as_slice()),
             Payload::Command(_) | Payload::Noop => None,
         })
     }
 
-    /// Tells whether every replica is a voter, by its own word and that of the record.
-    fn is_whole(&self) -> bool {
+    /// Returns whether every replica is a voter, both in the committed membership and in the
+    /// membership in each replica's own log.
+    fn membership_is_complete(&self) -> bool {
         let is_all = |members: &[Member]| {
             let votes =
                 |id: &ReplicaId| members.iter().any(|member| member.voter && member.id == *id);
             members.len() == self.replicas.len() && self.replicas.iter().all(|r| votes(&r.id))
         };
         let in_order = |replica: &Replica| is_all(replica.disk.log.members().0);
-        self.final_members().is_none_or(is_all) && self.replicas.iter().all(in_order)
+        self.committed_members().is_none_or(is_all) && self.replicas.iter().all(in_order)
     }
 
-    /// Gives an instance an empty data folder, and with it another replica number.
+    /// Empties an instance's data folder, which gives it a new replica number.
     fn wipe(&mut self, n: usize) {
         let replica = &mut self.replicas[n];
         replica.id.1 += 1;
@@ -324,59 +333,66 @@
         self.start(n);
     }
 
-    /// Loses a disk once the last loss was repaired, as an operator would see to before anything
-    /// else; and does what an operator does, at whoever believes to lead.
-    fn lose_and_repair(&mut self) -> Result<(), TestCaseError> {
-        let n = self.below(self.replicas.len() as u64) as usize;
-        if self.faulty && self.is_whole() && self.below(150) == 0 {
-            self.losses += 1;
+    /// Loses a disk if the previous loss has been repaired, and issues an operator's membership
+    /// changes at a replica that considers itself the leader.
+    ///
+    /// The next loss waits for the repair because an operator repairs a loss before anything else.
+    fn lose_disk_and_repair(&mut self) -> Result<(), TestCaseError> {
+        let n = self.random_below(self.replicas.len() as u64) as usize;
+        if self.faults_enabled && self.membership_is_complete() && self.random_below(150) == 0 {
+            self.disk_losses += 1;
             self.wipe(n);
         }
         let is_removed = |members: &[Member]| !members.iter().any(|m| m.id == self.replicas[n].id);
         let knows_a_record = !self.replicas[n].disk.log.members().0.is_empty();
-        if knows_a_record && self.final_members().is_some_and(is_removed) && self.below(50) == 0 {
-            // Removed for good: it comes back with an empty data folder.
+        if knows_a_record
+            && self.committed_members().is_some_and(is_removed)
+            && self.random_below(50) == 0
+        {
+            // The record has removed this replica: it rejoins with an empty data folder.
             self.wipe(n);
         }
-        if self.below(10) > 0 {
+        if self.random_below(10) > 0 {
             return Ok(());
         }
         let now = Millis(self.now);
         let ids: Vec<ReplicaId> = self.replicas.iter().map(|r| r.id.clone()).collect();
-        let remove_healthy = self.faulty && self.below(8) == 0;
+        let remove_healthy = self.faults_enabled && self.random_below(8) == 0;
         self.drive(n, |consensus, out| {
             if !consensus.is_leader() {
                 return;
             }
             let (own, members) = (consensus.id().clone(), consensus.members().to_vec());
-            let gone = members.iter().find(|member| !ids.contains(&member.id));
-            // A loss comes first: with one member lost, to remove a second would be a second loss.
-            let may_remove = remove_healthy && gone.is_none();
+            let lost = members.iter().find(|member| !ids.contains(&member.id));
+            // A lost member is removed first: removing a healthy member while one is lost would
+            // amount to a second loss.
+            let may_remove = remove_healthy && lost.is_none();
             let healthy = members.iter().filter(|m| may_remove && m.id != own);
-            let blank = ids.iter().find(|id| !members.iter().any(|m| m.id == **id));
-            // Each may be refused, two at once must be; the operator tries again.
-            for Member { id, .. } in gone.into_iter().chain(healthy.take(2)) {
+            let unknown = ids.iter().find(|id| !members.iter().any(|m| m.id == **id));
+            // Any change may be refused, and the second of two concurrent ones must be. The
+            // operator retries.
+            for Member { id, .. } in lost.into_iter().chain(healthy.take(2)) {
                 let _ = consensus.remove_member(now, now.0, &id.0, Some(id.1), out);
             }
-            if let Some(id) = blank {
+            if let Some(id) = unknown {
                 let _ = consensus.add_member(now, now.0, &id.0, out);
             }
         })
     }
 
     fn step(&mut self) -> Result<(), TestCaseError> {
-        self.now += STEP;
-        if self.faulty {
-            self.inject();
+        self.now += STEP_MS;
+        if self.faults_enabled {
+            self.inject_faults();
         }
-        if self.with_losses {
-            self.lose_and_repair()?;
+        if self.with_disk_losses {
+            self.lose_disk_and_repair()?;
         }
         self.deliver()?;
-        if self.below(6) == 0 {
+        if self.random_below(6) == 0 {
             self.propose()?;
         }
-        if self.below(40) == 0 {
+        if self.random_below(40) == 0 {
             self.compact()?;
         }
         let now = Millis(self.now);
@@ -393,62 +409,66 @@
 }
 
 fn run(seed: u64, size: usize) -> Result<(), TestCaseError> {
-    run_cluster(Cluster::new(seed, size, false), SETTLING).map(|_| ())
+    run_cluster(Cluster::new(seed, size, false), RECOVERY_PERIOD_MS).map(|_| ())
 }
 
-/// Returns how many disks were lost.
-fn run_with_losses(seed: u64, size: usize) -> Result<u32, TestCaseError> {
-    let cluster = run_cluster(Cluster::new(seed, size, true), REPAIRING)?;
-    prop_assert!(cluster.is_whole(), "the last loss is not repaired");
-    Ok(cluster.losses)
+/// Returns the number of disks lost.
+fn run_with_disk_losses(seed: u64, size: usize) -> Result<u32, TestCaseError> {
+    let cluster = run_cluster(Cluster::new(seed, size, true), REPAIR_PERIOD_MS)?;
+    prop_assert!(cluster.membership_is_complete(), "the last disk loss is not repaired");
+    Ok(cluster.disk_losses)
 }
 
-/// After a common start without faults something must be final within this: twice the longest first
-/// wait, for an attempt that was split, and a few messages of 30 ms.
-const COMMON_START: u64 = 1_500;
+/// The time within which an entry must be committed after all replicas start at once without
+/// faults: twice the longest initial election timeout, to allow for one split vote, plus a few
+/// messages of 30 ms each.
+const SIMULTANEOUS_START_LIMIT_MS: u64 = 1_500;
 
-/// Starts all replicas at the same moment, again and again under faults, and then once without.
-fn run_common_starts(seed: u64, size: usize) -> Result<(), TestCaseError> {
+/// Starts all replicas simultaneously, repeatedly under faults and then once without.
+fn run_simultaneous_starts(seed: u64, size: usize) -> Result<(), TestCaseError> {
     let mut cluster = Cluster::new(seed, size, false);
     let start_all = |cluster: &mut Cluster| (0..size).for_each(|n| cluster.start(n));
-    while cluster.now < FAULTY {
-        if cluster.below(150) == 0 {
+    while cluster.now < FAULT_PERIOD_MS {
+        if cluster.random_below(150) == 0 {
             start_all(&mut cluster);
         }
         cluster.step()?;
     }
-    cluster.faulty = false;
-    cluster.sides = 0;
+    cluster.faults_enabled = false;
+    cluster.partition_sides = 0;
     cluster.network.clear();
     start_all(&mut cluster);
     let before = cluster.applied.len();
-    let until = cluster.now + COMMON_START;
+    let until = cluster.now + SIMULTANEOUS_START_LIMIT_MS;
     while cluster.now < until {
         cluster.step()?;
     }
-    prop_assert!(cluster.applied.len() > before, "nothing becomes final after a common start");
+    prop_assert!(
+        cluster.applied.len() > before,
+        "no entry is committed after a simultaneous start"
+    );
     Ok(())
 }
 
-fn run_cluster(mut cluster: Cluster, settling: u64) -> Result<Cluster, TestCaseError> {
+fn run_cluster(mut cluster: Cluster, recovery: u64) -> Result<Cluster, TestCaseError> {
     let size = cluster.replicas.len();
-    while cluster.now < FAULTY {
+    while cluster.now < FAULT_PERIOD_MS {
         cluster.step()?;
     }
-    cluster.faulty = false;
-    cluster.sides = 0;
+    cluster.faults_enabled = false;
+    cluster.partition_sides = 0;
     for n in 0..size {
         if cluster.replicas[n].running.is_none() {
             cluster.start(n);
         }
     }
     let before = cluster.commit();
-    while cluster.now < FAULTY + settling {
+    while cluster.now < FAULT_PERIOD_MS + recovery {
         cluster.step()?;
     }
-    prop_assert!(cluster.commit() > before, "nothing becomes final after the faults");
+    prop_assert!(cluster.commit() > before, "no entry is committed after the faults");
     let last = *cluster.applied.keys().last().expect("applied entries");
-    prop_assert!(last >= before, "a final entry was lost");
+    prop_assert!(last >= before, "a committed entry was lost");
     Ok(cluster)
 }
 
@@ -460,42 +480,46 @@
         ..ProptestConfig::default()
     })]
 
-    // Two leaders of one term, or an entry replaced after it was final, would give one deposit's
-    // key to two entries, and it would be charged twice.
+    // Guards against two leaders in one term and against replacing a committed log entry: either
+    // would grant one deposit's request key to two entry instances, and the deposit would be
+    // charged twice.
     #[test]
     fn no_final_entry_is_lost_and_no_key_given_twice(seed in any::<u64>()) {
         run(seed, 3)?;
         run(seed, 5)?;
     }
 
-    // Guards against a fleet that serves nobody for seconds after all instances stopped at once, and
-    // against common starts, with their many elections, that lose what was final.
+    // Guards against seconds of downtime after all instances stopped at once, and against losing
+    // committed entries in the many elections that simultaneous starts cause.
     #[test]
     fn a_common_start_loses_nothing_and_ends_soon(seed in any::<u64>()) {
-        run_common_starts(seed, 3)?;
-        run_common_starts(seed, 4)?;
-        run_common_starts(seed, 5)?;
+        run_simultaneous_starts(seed, 3)?;
+        run_simultaneous_starts(seed, 4)?;
+        run_simultaneous_starts(seed, 5)?;
     }
 
-    // Disks are lost one after the other and replaced while everything else fails too. A member
-    // that votes before it has caught up, or two changes at once, would let two majorities miss
-    // each other, and an accepted change or a deposit's key would be gone.
+    // Guards against losing an accepted change or a deposit's request key while disks are lost and
+    // replaced one after another amid all other faults. A member that votes before it has caught
+    // up, or two concurrent membership changes, would allow two majorities that do not overlap.
     #[test]
     fn no_final_entry_is_lost_while_disks_are_replaced(seed in any::<u64>()) {
-        prop_assert!(run_with_losses(seed, 3)? + run_with_losses(seed, 5)? > 0);
+        prop_assert!(run_with_disk_losses(seed, 3)? + run_with_disk_losses(seed, 5)? > 0);
     }
 }
 
-// A replica elected more than a second and a half after its process began counted the others as
-// unheard since that beginning and stepped down at once; nothing became final again after a crash.
+// Guards against a leader that steps down right after its election. A replica elected more than
+// 1.5 s after its process started counted the other replicas as silent since that start and stepped
+// down at once, so nothing was committed again after a crash.
 #[test]
 fn a_late_leader_stays_in_office() {
-    run(1_311_768_467_463_790_321, 3).expect("entries become final after the faults");
+    run(1_311_768_467_463_790_321, 3).expect("entries are committed after the faults");
 }
 
-// An instance lost its disk again while its first loss was being repaired. The newcomer had got a
-// vote beside the lost replica: two of four voters were lost, and nothing could become final again.
+// Guards against losing the quorum when an instance loses its disk again while the first loss is
+// being repaired. The replacement had been made a voter alongside the lost replica, so two of four
+// voters were lost and nothing could be committed again.
 #[test]
 fn a_newcomer_lost_before_the_repair_ends_costs_nothing() {
-    run_with_losses(16_119_409_534_279_837_912, 3).expect("entries become final after the faults");
+    run_with_disk_losses(16_119_409_534_279_837_912, 3)
+        .expect("entries are committed after the faults");
 }
