--- a/tests/testsuite/model_nodes/mod.rs
+++ b/tests/testsuite/model_nodes/mod.rs
@@ -1,63 +1,69 @@
-//! Whole instances, driven message by message under random faults.
+//! Simulates complete entry instances under random faults.
 //!
-//! Six entries in two failure domains share one cold upstream in each. Messages are delayed,
-//! dropped, doubled and overtake each other; instances are killed, restarted empty, stopped and
-//! thawed; the failure domains are cut off from each other. The upstreams count what really runs.
+//! Six entries in two failure domains share one cold upstream per domain. Messages are delayed,
+//! dropped, duplicated and reordered; instances are killed, restarted without state, frozen and
+//! thawed; the failure domains are partitioned from each other. The simulated upstreams count the
+//! requests that actually run.
 
 mod silent_owner;
-mod world;
-
+mod simulation;
 use proptest::{prelude::*, test_runner::RngSeed};
 
-use self::world::{FAULTY, SETTLING, World};
+use self::simulation::{FAULT_PERIOD_MS, RECOVERY_PERIOD_MS, Simulation};
 
 fn run(seed: u64) -> Result<(), TestCaseError> {
-    run_faults(World::new(seed))
+    run_simulation(Simulation::new(seed))
 }
 
-fn run_faults(mut world: World) -> Result<(), TestCaseError> {
-    while world.now < FAULTY {
-        world.step()?;
+fn run_simulation(mut simulation: Simulation) -> Result<(), TestCaseError> {
+    while simulation.now < FAULT_PERIOD_MS {
+        simulation.step()?;
     }
-    world.heal();
-    while world.now < FAULTY + SETTLING {
-        world.step()?;
+    simulation.heal();
+    while simulation.now < FAULT_PERIOD_MS + RECOVERY_PERIOD_MS {
+        simulation.step()?;
     }
-    let before = world.answered;
-    while world.now < FAULTY + SETTLING + 8_000 {
-        world.step()?;
-        world.check_idle()?;
+    let before = simulation.answered;
+    while simulation.now < FAULT_PERIOD_MS + RECOVERY_PERIOD_MS + 8_000 {
+        simulation.step()?;
+        simulation.check_idle()?;
     }
-    prop_assert!(world.answered > before, "nothing is served after the faults");
+    prop_assert!(simulation.answered > before, "no request is answered after the faults");
     Ok(())
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 32, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    // Under any of these faults, a slot given twice makes a cold upstream fall over, two holders
-    // give every slot twice, and a slot lost from the books leaves callers waiting beside it.
+    // Guards against overselling and leaking slots under any of these faults. A slot granted twice
+    // overloads a cold upstream until it crashes, two lease holders would grant every slot twice,
+    // and a slot that is never returned leaves callers waiting although it is free.
     #[test]
     fn no_slot_is_oversold_and_none_is_lost(seed in any::<u64>()) {
         run(seed)?;
     }
 
-    // The same while single instances are cut off from all others: one that goes on with its static
-    // share must not use slots that a dispatcher on the other side of the cut gives.
+    // Guards against the same while single instances are cut off from all others: an instance that
+    // continues with its static share must not use slots that a dispatcher on the other side of the
+    // partition grants.
     #[test]
     fn no_slot_is_oversold_beside_isolated_instances(seed in any::<u64>()) {
-        let mut world = World::new(seed);
-        world.isolates = true;
-        run_faults(world)?;
+        let mut simulation = Simulation::new(seed);
+        simulation.isolates_instances = true;
+        run_simulation(simulation)?;
     }
 }
 
-// What each of these seeds first showed: a grant message that arrived twice ran two requests in one
-// slot; two entries that each kept part of the votes left a pool without dispatcher for good; a
-// failure domain whose entries all restarted was ignored by its neighbours for its lower term; an
-// entry stopped for longer than its dispatcher waited used its old grants when it was thawed; a
-// silent entry's request was hidden in a load report by a grant that had not begun to run; a static
-// share began in the moment another entry won the lease; the end of a session overtook its beginning.
+// Regression seeds. The faults that they first exposed, in order:
+//
+// - a duplicated grant message ran two requests in one slot;
+// - two entries that each held part of the votes left a pool without a dispatcher for good;
+// - a failure domain whose entries all restarted was ignored by its neighbours because its term was
+//   lower;
+// - an entry frozen for longer than its dispatcher waited used its old grants once thawed;
+// - in a load report, a grant that had not started to run hid a silent entry's running request;
+// - a static share started at the moment another entry won the lease;
+// - the end of a session overtook its start.
 #[test]
 fn seeds_that_once_failed_hold() {
     let seeds = [
--- a/tests/testsuite/model_nodes/world.rs
+++ b/tests/testsuite/model_nodes/simulation.rs
@@ -1,4 +1,4 @@
-//! The instances, the network between them, and the upstreams that count what runs.
+//! The simulated instances, the network between them, and upstreams that count running requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,68 +21,68 @@
 };
 use proptest::{prelude::*, prop_assert};
 
-/// How old load reports are.
-const REPORT_LAG: u64 = 300;
+/// The age of load reports.
+const REPORT_LAG_MS: u64 = 300;
 const ORGANISATIONS: [&str; 2] = ["alder", "birch"];
-/// The step of time.
-const STEP: u64 = 10;
-/// How long faults happen.
-pub(super) const FAULTY: u64 = 15_000;
+/// The length of a simulation step.
+const STEP_MS: u64 = 10;
+/// How long faults are injected.
+pub(super) const FAULT_PERIOD_MS: u64 = 15_000;
 /// How long the instances may take to recover before the last checks begin.
-pub(super) const SETTLING: u64 = 12_000;
-/// How long a request may wait beside a free slot once all is settled.
-const IDLE_LIMIT: u64 = 1_500;
+pub(super) const RECOVERY_PERIOD_MS: u64 = 12_000;
+/// How long a request may wait while a slot is free, once the instances have recovered.
+const IDLE_LIMIT_MS: u64 = 1_500;
 pub(super) const DOMAINS: [&str; 2] = ["north", "south"];
-pub(super) const PER_DOMAIN: usize = 3;
+pub(super) const ENTRIES_PER_DOMAIN: usize = 3;
 
 #[derive(Default)]
 struct Upstream {
-    /// Requests that run, by instance and request, and when each ends.
+    /// The end time of each running request, by instance and request.
     running: BTreeMap<(usize, u64), u64>,
-    /// The count at each step, for lagging reports.
+    /// The number of running requests at each step, from which delayed reports are made.
     history: Vec<u32>,
 }
 
 struct Host {
     node: Option<Node>,
     frozen: bool,
-    /// Messages that arrive while it is frozen.
+    /// Messages that arrived while the instance was frozen.
     inbox: Vec<(Instance, Message)>,
-    /// Requests whose answers arrive while it is frozen.
+    /// Requests whose answers arrived while the instance was frozen.
     ended: Vec<u64>,
     waiting: BTreeSet<u64>,
 }
 
-pub(super) struct World {
+pub(super) struct Simulation {
     pub(super) now: u64,
     random: u64,
-    /// Slots of each upstream; none warms up, so one request more is one too many.
-    cold: u32,
+    /// The slots of each upstream. No upstream warms up, so any further request oversells it.
+    slot_limit: u32,
     /// The revision of the document in force.
-    pub(super) revision: u64,
-    /// The upstream of each failure domain.
-    names: [UpstreamName; 2],
+    pub(super) document_revision: u64,
+    /// The upstream name of each failure domain.
+    upstream_names: [UpstreamName; 2],
     hosts: Vec<Host>,
     network: BTreeMap<(u64, u64), (Instance, Instance, Message)>,
     sent: u64,
     upstreams: Vec<Upstream>,
-    pub(super) cut: bool,
-    /// An instance that nobody hears and that hears nobody.
+    pub(super) is_partitioned: bool,
+    /// The instance that is cut off from all others, if any.
     pub(super) isolated: Option<usize>,
-    /// Whether single instances are isolated among other faults.
-    pub(super) isolates: bool,
-    pub(super) faulty: bool,
-    /// Whether requests arrive in the north only.
+    /// Whether the injected faults include isolating single instances.
+    pub(super) isolates_instances: bool,
+    pub(super) faults_enabled: bool,
+    /// Whether requests arrive only in the north.
     pub(super) only_north: bool,
     next_request: u64,
     incarnation: u64,
     idle_since: Option<u64>,
-    /// What each holder of a lease last counted of each organisation's service, by its term and by
-    /// where the service was given.
+    /// The service that each lease holder last counted for each organisation, by the holder's
+    /// instance and term and by the failure domain that gave the service.
     served: BTreeMap<(usize, u64, usize, OrganisationTag), i64>,
     pub(super) answered: u64,
-    /// Requests begun at upstreams, by entry.
-    pub(super) begun: BTreeMap<usize, u64>,
+    /// The number of requests started at upstreams, by entry.
+    pub(super) started: BTreeMap<usize, u64>,
 }
 
 pub(super) fn name(host: usize) -> Instance {
@@ -90,12 +90,12 @@
 }
 
 fn domain_of(host: usize) -> usize {
-    host / PER_DOMAIN
+    host / ENTRIES_PER_DOMAIN
 }
 
 fn settings(host: usize) -> Settings {
     let address = "127.0.0.1:1".parse().expect("an address");
-    let mut peers: Vec<Peer> = (0..DOMAINS.len() * PER_DOMAIN)
+    let mut peers: Vec<Peer> = (0..DOMAINS.len() * ENTRIES_PER_DOMAIN)
         .map(|n| Peer {
             instance: name(n),
             address,
@@ -122,8 +122,10 @@
     }
 }
 
-fn state(asked: Millis, cold: u32, revision: u64) -> Message {
-    let rest = format!("slots: {{cold: {cold}, warm: {cold}}}\nlimits: {{deadline_ms: 7000}}\n");
+fn state(asked: Millis, slot_limit: u32, revision: u64) -> Message {
+    let rest = format!(
+        "slots: {{cold: {slot_limit}, warm: {slot_limit}}}\nlimits: {{deadline_ms: 7000}}\n"
+    );
     let text = document("tutor", "model-engine", &[("alder", 1), ("birch", 3)], &rest);
     let stored = StoredDocument { service: "tutor".into(), revision, index: revision, text };
     Message::Record(RecordMessage::State {
@@ -139,50 +141,54 @@
     })
 }
 
-impl World {
-    /// Makes a world in which random faults happen to upstreams that bear two requests each.
-    pub(super) fn new(seed: u64) -> World {
-        World::with(seed, 2, DOMAINS.map(|d| format!("engine-{d}").as_str().into()))
+impl Simulation {
+    /// Creates a simulation with random faults and two slots per upstream.
+    pub(super) fn new(seed: u64) -> Simulation {
+        Simulation::with(seed, 2, DOMAINS.map(|d| format!("engine-{d}").as_str().into()))
     }
 
-    /// Makes a world of upstreams with these names, that bear `cold` requests each.
-    pub(super) fn with(seed: u64, cold: u32, names: [UpstreamName; 2]) -> World {
-        let hosts = (0..DOMAINS.len() * PER_DOMAIN).map(|_| Host {
+    /// Creates a simulation of upstreams with these names and `slot_limit` slots each.
+    pub(super) fn with(
+        seed: u64,
+        slot_limit: u32,
+        upstream_names: [UpstreamName; 2],
+    ) -> Simulation {
+        let hosts = (0..DOMAINS.len() * ENTRIES_PER_DOMAIN).map(|_| Host {
             node: None,
             frozen: false,
             inbox: Vec::new(),
             ended: Vec::new(),
             waiting: BTreeSet::new(),
         });
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0,
             random: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
-            cold,
-            revision: 1,
-            names,
+            slot_limit,
+            document_revision: 1,
+            upstream_names,
             hosts: hosts.collect(),
             network: BTreeMap::new(),
             sent: 0,
             upstreams: (0..DOMAINS.len()).map(|_| Upstream::default()).collect(),
-            cut: false,
+            is_partitioned: false,
             isolated: None,
-            isolates: false,
+            isolates_instances: false,
             only_north: false,
-            faulty: true,
+            faults_enabled: true,
             next_request: 1,
             incarnation: 1,
             idle_since: None,
             answered: 0,
-            begun: BTreeMap::new(),
+            started: BTreeMap::new(),
             served: BTreeMap::new(),
         };
-        for host in 0..world.hosts.len() {
-            world.restart(host);
+        for host in 0..simulation.hosts.len() {
+            simulation.restart(host);
         }
-        world
+        simulation
     }
 
-    fn below(&mut self, bound: u64) -> u64 {
+    fn random_below(&mut self, bound: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
@@ -214,22 +220,22 @@
         node.handle(now, 0, input, &mut outputs);
         node.flush(now, 0, &mut outputs);
         for output in outputs {
-            self.carry_out(host, output);
+            self.process_output(host, output);
         }
     }
 
-    fn carry_out(&mut self, host: usize, output: Output) {
+    fn process_output(&mut self, host: usize, output: Output) {
         match output {
             Output::Send(to, Message::Record(RecordMessage::Pull { asked, .. })) => {
                 self.answer_pull(host, to, asked);
             }
             Output::Send(to, message) => self.dial(host, to, message),
             Output::Start { id, upstream, .. } => {
-                let length = 50 + self.below(400);
-                let place = self.names.iter().position(|name| *name == upstream);
+                let length = 50 + self.random_below(400);
+                let domain = self.upstream_names.iter().position(|name| *name == upstream);
                 let ends = self.now + length;
-                *self.begun.entry(host).or_default() += 1;
-                let upstream = &mut self.upstreams[place.expect("a known upstream")];
+                *self.started.entry(host).or_default() += 1;
+                let upstream = &mut self.upstreams[domain.expect("a known upstream")];
                 upstream.running.insert((host, id), ends);
                 self.hosts[host].waiting.remove(&id);
             }
@@ -241,52 +247,55 @@
         }
     }
 
-    /// Sends a message, or reports at once that the other instance can't be dialled.
+    /// Sends a message, or immediately reports to the sender that dialling the target failed.
     fn dial(&mut self, host: usize, to: Instance, message: Message) {
         let from = name(host);
-        let is_cut = self.is_cut(&from, &to);
+        let is_blocked = self.is_blocked(&from, &to);
         let target = (0..self.hosts.len()).find(|n| name(*n) == to);
         let refused = target.is_some_and(|n| self.hosts[n].node.is_none());
-        if is_cut || refused {
-            self.input(host, Input::DialFailed { instance: to, refused: refused && !is_cut });
+        if is_blocked || refused {
+            self.input(host, Input::DialFailed { instance: to, refused: refused && !is_blocked });
         } else {
-            self.post(from, to, message);
+            self.send(from, to, message);
         }
     }
 
-    /// Answers for the control instance, which the south can't reach over a cut.
+    /// Answers on behalf of the control instance, which a partition makes unreachable from the
+    /// south.
     fn answer_pull(&mut self, host: usize, to: Instance, asked: Millis) {
-        let is_apart = self.cut && domain_of(host) == 1 || self.isolated == Some(host);
-        if to.as_str() == "control" && !is_apart {
-            self.post(to, name(host), state(asked, self.cold, self.revision));
+        let is_unreachable =
+            self.is_partitioned && domain_of(host) == 1 || self.isolated == Some(host);
+        if to.as_str() == "control" && !is_unreachable {
+            self.send(to, name(host), state(asked, self.slot_limit, self.document_revision));
         }
     }
 
-    fn post(&mut self, from: Instance, to: Instance, message: Message) {
-        let copies = if !self.faulty {
+    fn send(&mut self, from: Instance, to: Instance, message: Message) {
+        let copies = if !self.faults_enabled {
             1
         } else {
-            match self.below(100) {
+            match self.random_below(100) {
                 0..4 => 0,
                 4..6 => 2,
                 _ => 1,
             }
         };
         for _ in 0..copies {
-            let slow = self.faulty && self.below(50) == 0;
-            let delay = if slow { self.below(1_500) } else { 1 + self.below(15) };
+            let slow = self.faults_enabled && self.random_below(50) == 0;
+            let delay = if slow { self.random_below(1_500) } else { 1 + self.random_below(15) };
             self.sent += 1;
             self.network
                 .insert((self.now + delay, self.sent), (from.clone(), to.clone(), message.clone()));
         }
     }
 
-    fn is_cut(&self, from: &Instance, to: &Instance) -> bool {
+    fn is_blocked(&self, from: &Instance, to: &Instance) -> bool {
         let host = |i: &Instance| (0..self.hosts.len()).find(|n| name(*n) == *i);
         let (from, to) = (host(from), host(to));
-        let is_apart = self.isolated.is_some() && (from == self.isolated || to == self.isolated);
-        let place = |host: Option<usize>| host.map(domain_of);
-        is_apart || self.cut && from.is_some() && place(from) != place(to)
+        let is_unreachable =
+            self.isolated.is_some() && (from == self.isolated || to == self.isolated);
+        let domain = |host: Option<usize>| host.map(domain_of);
+        is_unreachable || self.is_partitioned && from.is_some() && domain(from) != domain(to)
     }
 
     fn deliver(&mut self) {
@@ -295,7 +304,7 @@
                 return;
             }
             let Some((_, (from, to, message))) = self.network.pop_first() else { return };
-            if self.is_cut(&from, &to) {
+            if self.is_blocked(&from, &to) {
                 continue;
             }
             let Some(host) = (0..self.hosts.len()).find(|n| name(*n) == to) else { continue };
@@ -307,7 +316,7 @@
         }
     }
 
-    /// Freezes an instance: its messages wait for it.
+    /// Freezes an instance; messages to it are queued until it is thawed.
     pub(super) fn freeze(&mut self, host: usize) {
         self.hosts[host].frozen = true;
     }
@@ -322,25 +331,27 @@
         }
     }
 
-    fn inject(&mut self) {
-        let host = self.below(self.hosts.len() as u64) as usize;
-        match self.below(1_200) {
+    fn inject_faults(&mut self) {
+        let host = self.random_below(self.hosts.len() as u64) as usize;
+        match self.random_below(1_200) {
             0 => self.kill(host),
             1..5 if self.hosts[host].node.is_none() => self.restart(host),
             5 => self.hosts[host].frozen = true,
             6..12 if self.hosts[host].frozen => self.thaw(host),
-            12 => self.cut = true,
-            13..17 => self.cut = false,
-            17..19 if self.isolates && self.isolated.is_none() => self.isolated = Some(host),
-            19..23 if self.isolates => self.isolated = None,
+            12 => self.is_partitioned = true,
+            13..17 => self.is_partitioned = false,
+            17..19 if self.isolates_instances && self.isolated.is_none() => {
+                self.isolated = Some(host)
+            }
+            19..23 if self.isolates_instances => self.isolated = None,
             _ => {}
         }
     }
 
     pub(super) fn heal(&mut self) {
         self.isolated = None;
-        self.faulty = false;
-        self.cut = false;
+        self.faults_enabled = false;
+        self.is_partitioned = false;
         for host in 0..self.hosts.len() {
             if self.hosts[host].frozen {
                 self.thaw(host);
@@ -352,16 +363,16 @@
     }
 
     fn end_requests(&mut self) {
-        for place in 0..self.upstreams.len() {
+        for domain in 0..self.upstreams.len() {
             let now = self.now;
-            let ended: Vec<(usize, u64)> = self.upstreams[place]
+            let ended: Vec<(usize, u64)> = self.upstreams[domain]
                 .running
                 .iter()
                 .filter(|(_, ends)| **ends <= now)
                 .map(|(key, _)| *key)
                 .collect();
             for (host, id) in ended {
-                self.upstreams[place].running.remove(&(host, id));
+                self.upstreams[domain].running.remove(&(host, id));
                 self.answered += 1;
                 if self.hosts[host].frozen {
                     self.hosts[host].ended.push(id);
@@ -378,10 +389,10 @@
         self.input(host, input);
     }
 
-    fn list(&mut self) {
-        for (place, upstream) in self.names.clone().into_iter().enumerate() {
-            let history = &self.upstreams[place].history;
-            let back = (REPORT_LAG / STEP) as usize;
+    fn publish_listing(&mut self) {
+        for (domain, upstream) in self.upstream_names.clone().into_iter().enumerate() {
+            let history = &self.upstreams[domain].history;
+            let back = (REPORT_LAG_MS / STEP_MS) as usize;
             let Some(running) = history.len().checked_sub(back + 1).map(|at| history[at]) else {
                 continue;
             };
@@ -390,9 +401,9 @@
                 address: "127.0.0.1:1".parse().expect("an address"),
                 leaving: false,
                 incarnation: 1,
-                report: Some(LoadReport { running, warm: false, age_ms: REPORT_LAG }),
+                report: Some(LoadReport { running, warm: false, age_ms: REPORT_LAG_MS }),
             };
-            for host in (0..self.hosts.len()).filter(|host| domain_of(*host) == place) {
+            for host in (0..self.hosts.len()).filter(|host| domain_of(*host) == domain) {
                 if !self.hosts[host].frozen {
                     self.input(host, Input::Listed("tutor".into(), vec![listed.clone()]));
                 }
@@ -400,16 +411,17 @@
         }
     }
 
-    fn arrive(&mut self) {
-        // Most demand in the north, so that it must be served in the south as well.
-        let host = self.below(if self.only_north { PER_DOMAIN as u64 } else { 4 }) as usize;
+    fn submit_request(&mut self) {
+        // Most requests arrive in the north, so some of them must be served in the south.
+        let host =
+            self.random_below(if self.only_north { ENTRIES_PER_DOMAIN as u64 } else { 4 }) as usize;
         if self.hosts[host].node.is_none() || self.hosts[host].frozen {
             return;
         }
         let id = self.next_request;
         self.next_request += 1;
         self.hosts[host].waiting.insert(id);
-        let organisation = ORGANISATIONS[self.below(2) as usize];
+        let organisation = ORGANISATIONS[self.random_below(2) as usize];
         let arrival = Arrival {
             id,
             service: "tutor".into(),
@@ -424,17 +436,21 @@
     fn check(&self) -> Result<(), TestCaseError> {
         for upstream in &self.upstreams {
             let running = upstream.running.len();
-            prop_assert!(running <= self.cold as usize, "{running} run at {} ms", self.now);
+            prop_assert!(
+                running <= self.slot_limit as usize,
+                "{running} requests run at {} ms",
+                self.now
+            );
         }
-        for place in 0..DOMAINS.len() {
+        for domain in 0..DOMAINS.len() {
             let service = Service::from("tutor");
             let holds = |host: &Host| {
                 let dispatcher = host.node.as_ref().and_then(|n| n.dispatchers().get(&service));
                 !host.frozen && dispatcher.is_some()
             };
-            let of_domain = self.hosts.iter().enumerate().filter(|(n, _)| domain_of(*n) == place);
+            let of_domain = self.hosts.iter().enumerate().filter(|(n, _)| domain_of(*n) == domain);
             let holders = of_domain.filter(|(_, host)| holds(host)).count();
-            prop_assert!(holders <= 1, "{holders} holders at {} ms", self.now);
+            prop_assert!(holders <= 1, "{holders} lease holders at {} ms", self.now);
         }
         for host in self.hosts.iter().filter_map(|host| host.node.as_ref()) {
             for dispatcher in host.dispatchers().values() {
@@ -445,9 +461,9 @@
         Ok(())
     }
 
-    /// Checks that no dispatcher counts less of anybody's service than it did before.
+    /// Checks that no dispatcher's count of an organisation's service decreases.
     fn check_counters(&mut self) -> Result<(), TestCaseError> {
-        for (place, host) in self.hosts.iter().enumerate() {
+        for (holder, host) in self.hosts.iter().enumerate() {
             let dispatchers = host.node.iter().flat_map(|node| node.dispatchers().values());
             for dispatcher in dispatchers {
                 let counters = dispatcher.counters();
@@ -458,7 +474,7 @@
                     remote.into_iter().map(move |ServiceReceived(o, total, _)| (1 + n, o, total))
                 });
                 for (part, organisation, now) in here.into_iter().chain(elsewhere) {
-                    let key = (place, dispatcher.term(), part, organisation);
+                    let key = (holder, dispatcher.term(), part, organisation);
                     let before = *self.served.get(&key).unwrap_or(&0);
                     prop_assert!(now >= before, "{key:?}: {before} became {now}");
                     self.served.insert(key, now);
@@ -468,38 +484,38 @@
         Ok(())
     }
 
-    /// Returns how many requests run at the upstream of the north.
+    /// Returns the number of requests that run at the north's upstream.
     pub(super) fn running(&self) -> usize {
         self.upstreams[0].running.len()
     }
 
-    /// Checks that nothing has been waiting beside a free slot for long.
+    /// Checks that no request waits for longer than `IDLE_LIMIT_MS` while a slot is free.
     pub(super) fn check_idle(&mut self) -> Result<(), TestCaseError> {
         let waiting = self.hosts.iter().any(|host| !host.waiting.is_empty());
         let free =
-            self.upstreams.iter().any(|upstream| upstream.running.len() < self.cold as usize);
+            self.upstreams.iter().any(|upstream| upstream.running.len() < self.slot_limit as usize);
         if !(waiting && free) {
             self.idle_since = None;
             return Ok(());
         }
         let since = *self.idle_since.get_or_insert(self.now);
-        prop_assert!(self.now - since <= IDLE_LIMIT, "a free slot beside a waiting request");
+        prop_assert!(self.now - since <= IDLE_LIMIT_MS, "a request waits while a slot is free");
         Ok(())
     }
 
     pub(super) fn step(&mut self) -> Result<(), TestCaseError> {
-        self.now += STEP;
-        if self.faulty {
-            self.inject();
+        self.now += STEP_MS;
+        if self.faults_enabled {
+            self.inject_faults();
         }
         self.deliver();
         self.end_requests();
         if self.now.is_multiple_of(400) {
-            self.list();
+            self.publish_listing();
         }
         let waiting: usize = self.hosts.iter().map(|host| host.waiting.len()).sum();
-        if self.below(4) == 0 && waiting < 30 {
-            self.arrive();
+        if self.random_below(4) == 0 && waiting < 30 {
+            self.submit_request();
         }
         for host in 0..self.hosts.len() {
             if !self.hosts[host].frozen {
