--- a/tests/testsuite/record/mod.rs
+++ b/tests/testsuite/record/mod.rs
@@ -1,4 +1,4 @@
-//! The durable record under killed, cut off and emptied control instances.
+//! Tests the durable record while control instances are killed, partitioned or lose their disks.
 
 mod disks;
 
@@ -38,16 +38,16 @@
     }
 }
 
-fn accepted(fleet: &Fleet, command: &Command) -> (u64, u64) {
+fn submit_until_accepted(fleet: &Fleet, command: &Command) -> (u64, u64) {
     let mut answer = None;
     let done = wait_until(PATIENCE, || {
         answer = fleet.client().change(command.clone()).ok();
         answer.is_some()
     });
-    assert!(done, "{command:?} is never accepted");
+    assert!(done, "{command:?} is not accepted");
     match answer {
         Some(Reply::Accepted { revision, index }) => (revision, index),
-        other => panic!("an answer that does not fit: {other:?}"),
+        other => panic!("unexpected reply: {other:?}"),
     }
 }
 
@@ -60,19 +60,20 @@
     leader.expect("a leader")
 }
 
-fn index_of(fleet: &Fleet, instance: &str) -> u64 {
+fn configuration_index(fleet: &Fleet, instance: &str) -> u64 {
     fleet.status(instance).map_or(0, |status| status.index)
 }
 
-/// Returns up to where a control instance's own replica is final.
+/// Returns the commit index of a control instance's own replica.
 ///
-/// The index of its configuration would not do: that may come from another control instance.
-fn commit_of(fleet: &Fleet, instance: &str) -> u64 {
+/// The index of the instance's configuration is not suitable, because it may come from another
+/// control instance.
+fn commit_index(fleet: &Fleet, instance: &str) -> u64 {
     let control = fleet.status(instance).ok().and_then(|status| status.control);
     control.map_or(0, |control| control.commit)
 }
 
-fn controls_only(count: usize) -> Fleet {
+fn start_control_instances(count: usize) -> Fleet {
     let plans: Vec<Plan> =
         (0..count).map(|n| Plan::control(&format!("control-{n}"), "north")).collect();
     let platform = Platform::start(Duration::ZERO);
@@ -86,8 +87,8 @@
     }
 }
 
-// The leader is killed again and again while changes and deposits go on. A change that was
-// accepted must stay, a deposit must not run twice, and one called "not run" must not have run.
+// Guards against losing accepted changes and running deposits twice when the leader is repeatedly
+// killed while changes and deposits go on. A deposit that was answered "not-run" must not have run.
 #[test]
 fn a_leader_killed_again_and_again_loses_nothing() {
     let mut world =
@@ -118,10 +119,10 @@
     let mut last = (0, 0);
     for round in 0..4 {
         let leader = wait_for_leader(&world.fleet);
-        last = accepted(&world.fleet, &small_change(round));
+        last = submit_until_accepted(&world.fleet, &small_change(round));
         world.fleet.kill(&leader);
-        let again = accepted(&world.fleet, &small_change(round));
-        assert_eq!(again, last, "a resend after the kill got another answer");
+        let again = submit_until_accepted(&world.fleet, &small_change(round));
+        assert_eq!(again, last, "resending after the kill gave another answer");
         world.fleet.run(&leader).expect("a started control instance");
     }
     stop.store(true, Ordering::SeqCst);
@@ -130,24 +131,25 @@
     assert!(deposits.iter().any(|(_, outcome, _)| outcome == "done"));
     for (key, outcome, only_not_run) in &deposits {
         assert!(runs(key) <= 1, "{key} ran {} times", runs(key));
-        assert!(outcome != "done" || runs(key) == 1, "{key} is done and did not run");
-        assert!(!only_not_run || runs(key) == 0, "{key} ran and was called not run");
+        assert!(outcome != "done" || runs(key) == 1, "{key} was answered done and did not run");
+        assert!(!only_not_run || runs(key) == 0, "{key} was answered not-run and ran");
     }
     for (control, _) in world.fleet.controls() {
-        let caught_up = || commit_of(&world.fleet, &control) >= last.1;
+        let caught_up = || commit_index(&world.fleet, &control) >= last.1;
         assert!(wait_until(PATIENCE, caught_up), "{control} lacks an accepted change");
     }
 }
 
-// All control instances lose power after hundreds of changes and start again. Every accepted
-// change must be there, entries go on with what they have meanwhile, and changes go on after.
+// Guards against losing accepted changes when all control instances are killed after hundreds of
+// changes and restarted, as after a power failure. Meanwhile entries must go on with the
+// configuration they hold, and afterwards changes must be accepted again.
 #[test]
 fn all_control_instances_restarted_after_hundreds_of_changes_keep_them() {
     let mut world =
         start(&["north", "south", "west"], 1, &EngineConfig::default()).with_documents();
     let mut last = (0, 0);
     for n in 0..300 {
-        last = accepted(&world.fleet, &small_change(n));
+        last = submit_until_accepted(&world.fleet, &small_change(n));
     }
     let controls = world.fleet.controls();
     controls.iter().for_each(|(control, _)| world.fleet.kill(control));
@@ -157,78 +159,86 @@
     assert_eq!(entry.revisions.len(), 2, "the entry forgot its configuration");
     controls.iter().for_each(|(control, _)| world.fleet.run(control).expect("a started instance"));
     let all_back =
-        || controls.iter().all(|(control, _)| commit_of(&world.fleet, control) >= last.1);
+        || controls.iter().all(|(control, _)| commit_index(&world.fleet, control) >= last.1);
     assert!(wait_until(PATIENCE, all_back), "an accepted change is lost");
-    assert!(accepted(&world.fleet, &small_change(300)).1 > last.1);
+    assert!(submit_until_accepted(&world.fleet, &small_change(300)).1 > last.1);
 }
 
-// A control instance hears and reaches nobody for a while. It must not call its old state the
-// newest, and when it is back it must not depose the leader that worked all the time.
+// Guards against a control instance that is partitioned for a while and confirms its stale state as
+// current, or that deposes the working leader once the partition heals.
 #[test]
 fn an_isolated_control_instance_confirms_nothing_and_disturbs_nobody() {
-    let fleet = controls_only(3);
+    let fleet = start_control_instances(3);
     let leader = wait_for_leader(&fleet);
-    let cut = fleet.controls().into_iter().map(|(i, _)| i).find(|i| *i != leader).expect("another");
+    let isolated =
+        fleet.controls().into_iter().map(|(i, _)| i).find(|i| *i != leader).expect("another");
     let term = |i: &str| fleet.status(i).ok().and_then(|s| s.control).map(|c| c.term);
     let before = term(&leader);
-    fleet.isolate(&cut, true);
-    let stale = || fleet.status(&cut).is_ok_and(|status| !status.fresh);
-    assert!(wait_until(PATIENCE, stale), "it still confirms its state");
-    let (_, index) = accepted(&fleet, &small_change(1));
+    fleet.isolate(&isolated, true);
+    let stale = || fleet.status(&isolated).is_ok_and(|status| !status.fresh);
+    assert!(wait_until(PATIENCE, stale), "it still confirms its stale state");
+    let (_, index) = submit_until_accepted(&fleet, &small_change(1));
     thread::sleep(Duration::from_secs(3));
-    assert!(commit_of(&fleet, &cut) < index);
-    fleet.isolate(&cut, false);
-    let caught_up =
-        || commit_of(&fleet, &cut) >= index && fleet.status(&cut).is_ok_and(|s| s.fresh);
+    assert!(commit_index(&fleet, &isolated) < index);
+    fleet.isolate(&isolated, false);
+    let caught_up = || {
+        commit_index(&fleet, &isolated) >= index && fleet.status(&isolated).is_ok_and(|s| s.fresh)
+    };
     assert!(wait_until(PATIENCE, caught_up), "it does not catch up");
     assert_eq!(term(&leader), before, "its return deposed the leader");
 }
 
-// Guards against a leader that deposes itself because its machine stood still for a moment while one
-// of the others is cut off.
+// Guards against a leader that steps down because its process was paused for a moment while another
+// control instance is partitioned.
 #[test]
 fn a_leader_that_was_frozen_for_a_moment_goes_on_leading() {
-    let fleet = controls_only(3);
+    let fleet = start_control_instances(3);
     let leader = wait_for_leader(&fleet);
-    let cut = fleet.controls().into_iter().map(|(i, _)| i).find(|i| *i != leader).expect("another");
+    let isolated =
+        fleet.controls().into_iter().map(|(i, _)| i).find(|i| *i != leader).expect("another");
     let term = || fleet.status(&leader).ok().and_then(|s| s.control).map(|c| c.term);
     let before = term();
-    fleet.isolate(&cut, true);
+    fleet.isolate(&isolated, true);
     thread::sleep(Duration::from_secs(1));
     fleet.signal(&leader, "STOP");
     thread::sleep(Duration::from_millis(1_800));
     fleet.signal(&leader, "CONT");
-    accepted(&fleet, &small_change(1));
-    assert_eq!(term(), before, "it deposed itself");
-    fleet.isolate(&cut, false);
+    submit_until_accepted(&fleet, &small_change(1));
+    assert_eq!(term(), before, "it stepped down");
+    fleet.isolate(&isolated, false);
 }
 
-// Messages reach a control instance no more, while its own still leave. It goes on asking for
-// votes, and whoever gave in to that would depose a leader that works.
+// Guards against a one-way partition that deposes a working leader: a control instance receives no
+// messages, while those it sends still arrive. It keeps requesting votes, which the others must not
+// grant.
 #[test]
 fn a_control_instance_cut_off_one_way_deposes_nobody() {
-    let fleet = controls_only(3);
+    let fleet = start_control_instances(3);
     let leader = wait_for_leader(&fleet);
     let others: Vec<String> =
         fleet.controls().into_iter().map(|(i, _)| i).filter(|i| *i != leader).collect();
-    let deaf = &others[0];
-    fleet.link(&leader, deaf).cut(true);
-    fleet.link(&others[1], deaf).cut(true);
+    let unreachable = &others[0];
+    fleet.link(&leader, unreachable).cut(true);
+    fleet.link(&others[1], unreachable).cut(true);
     let term = || fleet.status(&leader).ok().and_then(|s| s.control).map(|c| c.term);
     let before = term();
     thread::sleep(Duration::from_secs(4));
-    let (_, index) = accepted(&fleet, &small_change(1));
-    assert_eq!(term(), before, "the deaf instance deposed the leader");
-    fleet.link(&leader, deaf).cut(false);
-    fleet.link(&others[1], deaf).cut(false);
-    assert!(wait_until(PATIENCE, || commit_of(&fleet, deaf) >= index), "it does not catch up");
+    let (_, index) = submit_until_accepted(&fleet, &small_change(1));
+    assert_eq!(term(), before, "the unreachable instance deposed the leader");
+    fleet.link(&leader, unreachable).cut(false);
+    fleet.link(&others[1], unreachable).cut(false);
+    assert!(
+        wait_until(PATIENCE, || commit_index(&fleet, unreachable) >= index),
+        "it does not catch up"
+    );
 }
 
-// Two operators change the same document from the same revision. One wins, the other is told of
-// the new revision; and the winner, whose answer was lost, sends again and gets it.
+// Guards against lost updates when two operators change the same document from the same revision:
+// one change is accepted and the other is refused with a revision conflict. Sending the accepted
+// change again, as after a lost answer, must return its first answer.
 #[test]
 fn of_two_operators_under_one_revision_one_wins() {
-    let fleet = controls_only(3);
+    let fleet = start_control_instances(3);
     wait_for_leader(&fleet);
     let apply = |change: &str| Command::ApplyDocument {
         change: change.to_owned(),
@@ -252,15 +262,15 @@
     assert_eq!(Some(&again), results.iter().find_map(|result| result.as_ref().ok()));
 }
 
-/// Kills an entry and lets it reach, when it is started again, no control instance but an isolated
-/// one that has not heard of the newest document. Its neighbour has; returns that revision.
-fn leave_beside_isolated_control(fleet: &mut Fleet) -> u64 {
+/// Kills an entry and cuts it off from all control instances but an isolated one, which lacks the
+/// newest document. Returns the revision of that document, which the entry's neighbour has.
+fn kill_and_confine_to_isolated_control(fleet: &mut Fleet) -> u64 {
     fleet.isolate("control-north", true);
     let text = tutor_document();
     let change = fresh_change_id().expect("a change id");
     let apply = Command::ApplyDocument { change, service: "tutor".into(), base: 1, text };
-    let (revision, index) = accepted(fleet, &apply);
-    assert!(wait_until(PATIENCE, || index_of(fleet, "entry-north-1") >= index));
+    let (revision, index) = submit_until_accepted(fleet, &apply);
+    assert!(wait_until(PATIENCE, || configuration_index(fleet, "entry-north-1") >= index));
     fleet.kill("entry-north-0");
     for control in ["control-south", "control-west"] {
         fleet.link("entry-north-0", control).cut(true);
@@ -271,43 +281,47 @@
     revision
 }
 
-// An entry restarts empty while the only control instance it reaches is an isolated one with an
-// old document. Its neighbour knows the newer one; the entry must not go back behind that.
+// Guards against an entry that goes back to an old document when it restarts without state and the
+// only control instance it reaches is an isolated one that holds that document. Its neighbour has
+// the newer one.
 #[test]
 fn an_entry_restarted_beside_an_isolated_control_instance_takes_the_newest() {
     let mut world =
         start(&["north", "south", "west"], 2, &EngineConfig::default()).with_documents();
     let fleet = &mut world.fleet;
-    let revision = leave_beside_isolated_control(fleet);
+    let revision = kill_and_confine_to_isolated_control(fleet);
     fleet.run("entry-north-0").expect("a started entry");
     let newest = || {
         let status = fleet.status("entry-north-0");
         status.is_ok_and(|status| status.revisions.get("tutor") == Some(&revision))
     };
-    assert!(wait_until(PATIENCE, newest), "it stays behind its neighbour");
+    assert!(wait_until(PATIENCE, newest), "it does not take its neighbour's newer document");
     thread::sleep(Duration::from_secs(2));
-    assert!(newest(), "it went back");
+    assert!(newest(), "it went back to the old document");
     let status = fleet.status("entry-north-0").expect("a status");
     assert!(!status.fresh, "an isolated control instance confirmed its state");
 }
 
-// The same, and the neighbour can't be heard at first either: the old document is all there is. As
-// soon as the neighbour can be heard the newer one must come from there, although the control
-// instance goes on answering.
+// Guards against an entry that stops asking its neighbours once an isolated control instance
+// answers. At first the neighbour is unreachable too, so the entry has only the old document; once
+// the neighbour is reachable, the entry must take the newer document from it.
 #[test]
 fn an_entry_beside_an_isolated_control_instance_goes_on_asking_its_neighbours() {
     let mut world =
         start(&["north", "south", "west"], 2, &EngineConfig::default()).with_documents();
     let fleet = &mut world.fleet;
-    let revision = leave_beside_isolated_control(fleet);
-    // What is sent meanwhile is lost, not held back.
+    let revision = kill_and_confine_to_isolated_control(fleet);
+    // Messages sent while the link is down are lost, not delayed.
     fleet.link("entry-north-0", "entry-north-1").set_down(true);
     fleet.run("entry-north-0").expect("a started entry");
     let knows = |wanted: u64| {
         let status = fleet.status("entry-north-0");
         status.is_ok_and(|status| status.revisions.get("tutor") == Some(&wanted))
     };
-    assert!(wait_until(PATIENCE, || knows(revision - 1)), "it hears nothing");
+    assert!(wait_until(PATIENCE, || knows(revision - 1)), "it does not take the old document");
     fleet.link("entry-north-0", "entry-north-1").set_down(false);
-    assert!(wait_until(PATIENCE, || knows(revision)), "it stays behind its neighbour");
+    assert!(
+        wait_until(PATIENCE, || knows(revision)),
+        "it does not take its neighbour's newer document"
+    );
 }
