--- a/tests/testsuite/fleet_load.rs
+++ b/tests/testsuite/fleet_load.rs
@@ -12,7 +12,7 @@
     protocol::fleet::{Load, LoadReport},
 };
 
-use crate::traffic::{demand, entries, traffic_of};
+use crate::traffic::{demand, entry_names, traffic_for_entry};
 
 const ENTRIES: usize = 66;
 const ENGINES: usize = 140;
@@ -90,9 +90,9 @@
 
 impl World {
     fn new(asking: Vec<Asking>) -> World {
-        let names = entries(ENTRIES);
+        let names = entry_names(ENTRIES);
         let mut fleet: Vec<Traffic> =
-            (0..ENTRIES).map(|entry| traffic_of(entry, PROMISED, ENGINES)).collect();
+            (0..ENTRIES).map(|entry| traffic_for_entry(entry, PROMISED, ENGINES)).collect();
         fleet.iter_mut().for_each(|traffic| traffic.set_entries(names.clone()));
         World {
             asking,
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -6,7 +6,7 @@
     protocol::fleet::LoadReport,
 };
 
-use crate::traffic::{demand, place, traffic};
+use crate::traffic::{assigned_upstream, demand, traffic};
 
 /// Tokens a second that are promised.
 const PROMISED: f64 = 100_000.0;
@@ -37,7 +37,7 @@
         [("flood-over", 200_000.0, 900_000.0, 0.0), ("busy", 500_000.0, 900_000.0, 50_000.0)];
     let mut traffic = hearing(&counts);
     let now = Millis(110);
-    assert!(place(traffic.admit(now, demand(1, now, "busy", 5, 100))).is_some());
+    assert!(assigned_upstream(traffic.admit(now, demand(1, now, "busy", 5, 100))).is_some());
 }
 
 /// The same, for one that gets nearly all that it asks for and is refused a large request now and
@@ -48,7 +48,7 @@
         [("large", 200_000.0, 280_000.0, 20_000.0), ("busy", 500_000.0, 900_000.0, 50_000.0)];
     let mut traffic = hearing(&counts);
     let now = Millis(110);
-    assert!(place(traffic.admit(now, demand(1, now, "busy", 5, 100))).is_some());
+    assert!(assigned_upstream(traffic.admit(now, demand(1, now, "busy", 5, 100))).is_some());
 }
 
 /// Guards against large requests that are refused for good: the organisation that got least of all
@@ -95,7 +95,7 @@
     let counts = [("near", 150_000.0, 200_000.0, 0.0), ("wide", 800_000.0, 2_000_000.0, 50_000.0)];
     let mut traffic = hearing(&counts);
     let before = Millis(110);
-    assert!(place(traffic.admit(before, demand(1, before, "wide", 5, 100))).is_some());
+    assert!(assigned_upstream(traffic.admit(before, demand(1, before, "wide", 5, 100))).is_some());
     for no in 2..100 {
         traffic.refuse_overloaded(before, &demand(no, before, "near", 6, 100));
     }
--- a/tests/testsuite/traffic.rs
+++ b/tests/testsuite/traffic.rs
@@ -1,4 +1,5 @@
-//! An entry's decisions: places, shares, the queue, cold upstreams, repeats.
+//! Tests an entry's traffic decisions: upstream choice, shares, queueing, cold upstreams and
+//! retries.
 
 use std::{net::IpAddr, sync::Arc};
 
@@ -18,11 +19,11 @@
 };
 
 pub(crate) fn traffic(tokens_per_s: f64, engines: usize) -> Traffic {
-    traffic_of(0, tokens_per_s, engines)
+    traffic_for_entry(0, tokens_per_s, engines)
 }
 
-/// Makes the decisions of one of [`entries`].
-pub(crate) fn traffic_of(entry: usize, tokens_per_s: f64, engines: usize) -> Traffic {
+/// Creates the traffic state of one of [`entry_names`].
+pub(crate) fn traffic_for_entry(entry: usize, tokens_per_s: f64, engines: usize) -> Traffic {
     let settings = FleetSettings { ip: ip(entry), ..fleet_settings() };
     let mut traffic = Traffic::new(Arc::new(settings));
     traffic.set_configuration(Arc::new(configuration(tokens_per_s)));
@@ -36,7 +37,7 @@
     IpAddr::from([127, 0, 0, entry as u8 + 1])
 }
 
-pub(crate) fn entries(count: usize) -> Vec<Instance> {
+pub(crate) fn entry_names(count: usize) -> Vec<Instance> {
     (0..count).map(|entry| instance_name(Role::Entry, ip(entry))).collect()
 }
 
@@ -49,64 +50,71 @@
     }
 }
 
-pub(crate) fn place(verdict: Option<Verdict>) -> Option<UpstreamName> {
+pub(crate) fn assigned_upstream(verdict: Option<Verdict>) -> Option<UpstreamName> {
     match verdict {
         Some(Verdict::Start(grant)) => Some(grant.upstream),
         _ => None,
     }
 }
 
-/// Two entries that never spoke must send requests with the same shared part to the same engine;
-/// otherwise each engine reads every part, and callers wait for reading that was done before.
+/// Guards against entries that send requests with the same shared prompt part to different engines
+/// unless they have exchanged reports: every engine would then read every part, and callers would
+/// wait for parts to be read that another engine already holds.
 #[test]
 fn entries_agree_on_the_home_of_a_shared_part() {
-    let (mut one, mut other) = (traffic(1e9, 12), traffic(1e9, 12));
+    let (mut first, mut second) = (traffic(1e9, 12), traffic(1e9, 12));
     for session in 100..160 {
         let now = Millis(session * 200);
-        let at_one = place(one.admit(now, demand(session, now, "alder", session, 300)));
-        let at_other = place(other.admit(now, demand(session, now, "alder", session, 300)));
-        assert!(at_one.is_some());
-        assert_eq!(at_one, at_other, "session {session}");
-        one.on_first_event(now, session);
-        other.on_first_event(now, session);
-        one.on_end(now, session, SendEnd::Answered);
-        other.on_end(now, session, SendEnd::Answered);
+        let at_first =
+            assigned_upstream(first.admit(now, demand(session, now, "alder", session, 300)));
+        let at_second =
+            assigned_upstream(second.admit(now, demand(session, now, "alder", session, 300)));
+        assert!(at_first.is_some());
+        assert_eq!(at_first, at_second, "session {session}");
+        first.on_first_event(now, session);
+        second.on_first_event(now, session);
+        first.on_end(now, session, SendEnd::Answered);
+        second.on_end(now, session, SendEnd::Answered);
     }
 }
 
-/// When one session gets much of the traffic, its home can't answer all of it in time. The rest
-/// must go to other engines rather than wait at the home.
+/// Guards against requests that wait at their home engine when one session gets most of the
+/// traffic and its home can't answer all of it within the target latency. The rest must go to other
+/// engines.
 #[test]
 fn a_hot_session_leaves_its_home_when_the_target_would_be_missed() {
     let mut traffic = traffic(1e9, 4);
     let now = Millis(100);
-    let places: Vec<_> = (0..40)
-        .filter_map(|no| place(traffic.admit(now, demand(no, now, "alder", 7, 6_000))))
+    let upstreams: Vec<_> = (0..40)
+        .filter_map(|no| assigned_upstream(traffic.admit(now, demand(no, now, "alder", 7, 6_000))))
         .collect();
-    let mut distinct = places.clone();
+    let mut distinct = upstreams.clone();
     distinct.sort();
     distinct.dedup();
-    assert!(distinct.len() > 1, "all went to {distinct:?}");
-    assert!(traffic.waiting() > 0, "more was sent than can be read within the target");
+    assert!(distinct.len() > 1, "all requests went to {distinct:?}");
+    assert!(
+        traffic.waiting() > 0,
+        "more requests were sent than can be read within the target latency"
+    );
 }
 
-/// An organisation floods an entry while the others ask for little; engines begin a request after a
-/// tenth of a second and take most of a second for it. The flood is held back or refused as not
-/// run, and the others are served as if it were not there.
+/// Guards against an organisation's flood of requests that delays the requests of others. Engines
+/// send the first event after 100 ms and complete a request after 800 ms. The flood must be queued
+/// or refused with the outcome `not-run`, and the other organisation must be served as without it.
 #[test]
 fn a_flood_beyond_its_share_leaves_the_others_whole() {
-    const BEGINS: Millis = Millis(100);
-    const TAKES: Millis = Millis(800);
-    const SMALL: RequestNo = 1_000_000;
+    const FIRST_EVENT_AFTER: Millis = Millis(100);
+    const COMPLETED_AFTER: Millis = Millis(800);
+    const FIRST_SMALL_NO: RequestNo = 1_000_000;
     let mut traffic = traffic(100_000.0, 2);
-    let mut under_way: Vec<(Millis, RequestNo)> = Vec::new();
-    let (mut held_back, mut small_served, mut no) = (0, 0, 0);
+    let mut running: Vec<(Millis, RequestNo)> = Vec::new();
+    let (mut refused, mut small_served, mut no) = (0, 0, 0);
     for step in 0..400 {
         let now = Millis(step * 10);
-        under_way.iter().filter(|(sent, _)| *sent + BEGINS == now).for_each(|(_, no)| {
+        running.iter().filter(|(sent, _)| *sent + FIRST_EVENT_AFTER == now).for_each(|(_, no)| {
             traffic.on_first_event(now, *no);
         });
-        for (_, no) in under_way.extract_if(.., |(sent, _)| *sent + TAKES <= now) {
+        for (_, no) in running.extract_if(.., |(sent, _)| *sent + COMPLETED_AFTER <= now) {
             traffic.on_end(now, no, SendEnd::Answered);
         }
         let mut verdicts = Vec::new();
@@ -117,7 +125,7 @@
             }
         }
         if step % 20 == 0 {
-            let small = SMALL + step;
+            let small = FIRST_SMALL_NO + step;
             if let Some(verdict) = traffic.admit(now, demand(small, now, "small", 3, 500)) {
                 verdicts.push((small, verdict));
             }
@@ -126,19 +134,22 @@
         for (no, verdict) in verdicts {
             match verdict {
                 Verdict::Start(_) => {
-                    small_served += usize::from(no >= SMALL);
-                    under_way.push((now, no));
+                    small_served += usize::from(no >= FIRST_SMALL_NO);
+                    running.push((now, no));
                 }
                 Verdict::Refuse { code, retry_after } => {
                     assert_eq!(code.outcome(), Outcome::NotRun);
                     assert!(retry_after > Millis::ZERO);
-                    assert!(no < SMALL, "a small organisation was refused for the flood");
-                    held_back += 1;
+                    assert!(
+                        no < FIRST_SMALL_NO,
+                        "a small organisation was refused because of the flood"
+                    );
+                    refused += 1;
                 }
             }
         }
     }
-    assert!(held_back > 500, "only {held_back} were held back");
+    assert!(refused > 500, "only {refused} requests were refused");
     assert_eq!(small_served, 20, "a small organisation waited behind the flood");
 }
 
@@ -147,8 +158,9 @@
     traffic.on_end(now, no, SendEnd::Answered);
 }
 
-/// An organisation beyond its share of an engine's tokens records a grade. Plain requests take no
-/// tokens; refused along with the rest, its assessors could sign nothing.
+/// Guards against refusing an organisation's plain requests because it exceeds its share of the
+/// engines' tokens. Plain requests, such as recording a grade, use no tokens; if they were refused
+/// too, the organisation's assessors could not sign anything.
 #[test]
 fn plain_requests_of_an_organisation_beyond_its_share_are_served() {
     let mut traffic = traffic(1_000.0, 2);
@@ -159,18 +171,19 @@
             _ => traffic.cancel_waiting(no),
         }
     }
-    // A second one asks as well, so that the first is beyond what the least served one gets.
+    // A second organisation makes requests as well, so that the first exceeds what the least served
+    // organisation gets.
     let now = Millis(1_000);
-    assert!(place(traffic.admit(now, plain(1_000, now, "flood"))).is_some());
+    assert!(assigned_upstream(traffic.admit(now, plain(1_000, now, "flood"))).is_some());
 }
 
-/// Requests are sent to engines that crash before they begin them. Charged for these, an
-/// organisation would get less than the others just when its upstreams fail.
+/// Guards against charging an organisation for requests that were sent to engines which crashed
+/// before starting them. The organisation would get less than the others while its upstreams fail.
 #[test]
 fn requests_that_never_ran_are_not_charged() {
     let mut traffic = traffic(100_000.0, 2);
     let now = Millis(100);
-    assert!(place(traffic.admit(now, demand(1, now, "alder", 5, 4_000))).is_some());
+    assert!(assigned_upstream(traffic.admit(now, demand(1, now, "alder", 5, 4_000))).is_some());
     let charged = |traffic: &Traffic| {
         traffic.report(now).served.iter().map(|(_, tokens)| *tokens).sum::<f32>()
     };
@@ -179,35 +192,37 @@
     assert!(charged(&traffic) < 1.0);
 }
 
-/// All entries together must not send a cold upstream more than it bears, also while they can't
-/// reach each other: it would crash and start cold again. Each keeps to its part of the rate.
+/// Guards against entries that together exceed a cold upstream's request rate, also while they
+/// can't reach each other: the upstream would crash and start cold again. Each entry must stay
+/// within its part of the rate.
 #[test]
 fn entries_keep_to_their_parts_of_a_cold_rate() {
     const ENTRIES: usize = 7;
     let sent = sent_to_a_cold_upstream(ENTRIES, Millis(1_000));
-    // The rate is 20 a second; each entry may begin with one.
+    // The rate is 20 requests per second, and each entry may start with one.
     assert!(sent <= 20 + ENTRIES, "{sent} requests reached a cold upstream within a second");
-    assert!(sent >= 10, "only {sent} reached it");
+    assert!(sent >= 10, "only {sent} requests reached it");
 }
 
-/// The same in a large fleet: the even part of an entry is a quarter of a request in a second, and
-/// each entry that had saved up one sent it at once. The upstream crashed.
+/// Guards against the same in a large fleet, where an entry's equal part of the rate is a quarter of
+/// a request per second. Every entry that had accumulated one request sent it at once, and the
+/// upstream crashed.
 #[test]
 fn a_cold_upstream_bears_a_large_fleet() {
     let sent = sent_to_a_cold_upstream(84, Millis(1_000));
-    // The rate is 20 a second; a third more may be saved up.
+    // The rate is 20 requests per second, and a third of that may have accumulated.
     assert!(sent <= 27, "{sent} requests reached a cold upstream within a second");
     let sent = sent_to_a_cold_upstream(84, Millis(3_000));
-    assert!(sent >= 40, "only {sent} reached it in three seconds");
+    assert!(sent >= 40, "only {sent} requests reached it in three seconds");
 }
 
-/// Counts what all entries together send to an upstream in a span after it turned cold, if each
-/// has a request for it every 10 ms.
+/// Returns the number of requests that all entries together send to an upstream within `span` of
+/// its turning cold, if each entry has a request for it every 10 ms.
 fn sent_to_a_cold_upstream(count: usize, span: Millis) -> usize {
     let mut sent = 0;
     for entry in 0..count {
-        let mut traffic = traffic_of(entry, 1e9, 0);
-        traffic.set_entries(entries(count));
+        let mut traffic = traffic_for_entry(entry, 1e9, 0);
+        traffic.set_entries(entry_names(count));
         let cold = listed("engine", "cold", Millis(3_000));
         traffic.set_listing(Millis(1_000), vec![cold]);
         for step in 0..span.0 / 10 {
@@ -224,8 +239,8 @@
     sent
 }
 
-/// Most of a service's upstreams look broken to one entry, as after a cut of its own. Setting them
-/// all aside would refuse callers although some answer.
+/// Guards against ejecting all upstreams of a service when most of them look broken to one entry, as
+/// when the entry itself is partitioned: callers would be refused although some upstreams answer.
 #[test]
 fn failing_upstreams_are_set_aside_unless_most_fail() {
     let mut health = Health::default();
@@ -233,23 +248,23 @@
         health.on_failure(Millis(100), 0.0);
     }
     assert!(health.is_ejected(Millis(100)));
-    assert!(!health.is_ejected(Millis(10_000)), "nobody would try it again");
+    assert!(!health.is_ejected(Millis(10_000)), "the upstream would never be tried again");
 
-    let mut all_fail = traffic(1e9, 3);
+    let mut traffic = traffic(1e9, 3);
     let mut no = 0;
     for step in 0..60 {
         let now = Millis(step * 5);
         no += 1;
-        if place(all_fail.admit(now, demand(no, now, "alder", no, 100))).is_some() {
-            all_fail.on_end(now, no, SendEnd::Unreachable);
+        if assigned_upstream(traffic.admit(now, demand(no, now, "alder", no, 100))).is_some() {
+            traffic.on_end(now, no, SendEnd::Unreachable);
         }
     }
     let now = Millis(301);
-    assert!(place(all_fail.admit(now, demand(9_999, now, "alder", 5, 100))).is_some());
+    assert!(assigned_upstream(traffic.admit(now, demand(9_999, now, "alder", 5, 100))).is_some());
 }
 
-/// A service at which every upstream fails a seventh of its requests is as healthy as it gets. Set
-/// aside for it, none would be left.
+/// Guards against ejecting upstreams for a failure rate that the whole service has. If every
+/// upstream fails a seventh of its requests, ejecting them for it would leave none.
 #[test]
 fn a_share_of_failures_that_the_whole_service_has_sets_nobody_aside() {
     let mut health = Health::default();
@@ -263,14 +278,14 @@
     }
 }
 
-/// Upstreams fail everything for half a minute. All entries together must not repeat more than the
-/// budget, in any window, or the repeats become the load that keeps the upstreams down.
+/// Guards against retries that keep upstreams overloaded. While upstreams fail every request for
+/// 30 s, all entries together must not retry more than the budget in any window.
 #[test]
 fn repeats_stay_within_the_budget_of_the_fleet() {
     const ENTRIES: usize = 9;
     let allowance = Allowance { ratio: 0.2, slack: 54.0, window: Millis(10_000) };
     let mut budgets = vec![RetryBudget::default(); ENTRIES];
-    let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+    let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for step in 0..3_000u64 {
         let now = Millis(step * 10);
         let budget = &mut budgets[step as usize % ENTRIES];
@@ -278,7 +293,7 @@
         requests.push(now);
         for _ in 0..3 {
             if budget.try_retry(now, allowance, ENTRIES) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
     }
@@ -287,13 +302,17 @@
             times.iter().filter(|at| at.0 > end - 10_000 && at.0 <= end).count() as f64
         };
         let allowed = allowance.ratio * within(&requests) + allowance.slack;
-        assert!(within(&repeats) <= allowed, "{} repeats by {end} ms", within(&repeats));
+        assert!(
+            within(&retries) <= allowed,
+            "{} retries in the window that ends at {end} ms",
+            within(&retries)
+        );
     }
-    assert!(!repeats.is_empty());
+    assert!(!retries.is_empty());
 }
 
-/// A long prompt takes most of a second to read. Counted whole until its first event, it sends
-/// later requests away from an engine that is nearly free.
+/// Guards against counting a long prompt in full until its first event. Such a prompt takes most of
+/// a second to read, and later requests would avoid an engine that is nearly free.
 #[test]
 fn unread_prompts_shrink_with_time() {
     let mut backlog = Backlog::default();
@@ -308,8 +327,9 @@
     assert_eq!(backlog.tokens(), 0);
 }
 
-/// A plain upstream answered once that all its slots were taken. Believed for long, it would look
-/// full until its next answer, which never comes as nothing is sent there.
+/// Guards against a plain upstream that is never used again after it once reported that all its
+/// slots were taken. Without an expiry it would seem full until its next answer, which never comes
+/// because no request is sent there.
 #[test]
 fn an_old_report_of_full_slots_does_not_close_a_plain_upstream() {
     let mut traffic = traffic(1e9, 1);
@@ -317,48 +337,50 @@
         traffic.on_load(Millis(100), &UpstreamName::from(format!("plain-{n}").as_str()), 6, 20);
     }
     let now = Millis(120);
-    assert_eq!(place(traffic.admit(now, plain(1, now, "alder"))), None);
+    assert_eq!(assigned_upstream(traffic.admit(now, plain(1, now, "alder"))), None);
     let mut verdicts = Vec::new();
     traffic.poll(Millis(160), &mut verdicts);
     assert!(matches!(verdicts.as_slice(), [(1, Verdict::Start(_))]), "{verdicts:?}");
 }
 
-/// Two organisations press beyond their shares at different entries. What one is given elsewhere
-/// counts here too, so neither gets far ahead of the other.
+/// Guards against an organisation that gets far more than another because the two exceed their
+/// shares at different entries: tokens served at other entries must count here too.
 #[test]
 fn an_organisation_far_ahead_elsewhere_is_refused_here() {
     let mut traffic = traffic(10_000.0, 2);
-    let told = |organisation: &str, tokens: f32| (Organisation::from(organisation), tokens);
+    let tokens_of = |organisation: &str, tokens: f32| (Organisation::from(organisation), tokens);
     let report = LoadReport {
-        served: vec![told("ahead", 900_000.0), told("behind", 100_000.0)],
-        asked: vec![told("ahead", 2_000_000.0), told("behind", 2_000_000.0)],
-        refused: vec![told("ahead", 200_000.0), told("behind", 200_000.0)],
+        served: vec![tokens_of("ahead", 900_000.0), tokens_of("behind", 100_000.0)],
+        asked: vec![tokens_of("ahead", 2_000_000.0), tokens_of("behind", 2_000_000.0)],
+        refused: vec![tokens_of("ahead", 200_000.0), tokens_of("behind", 200_000.0)],
         ..LoadReport::default()
     };
     traffic.on_report(Millis(100), "e-127.0.0.9".into(), report);
     let now = Millis(110);
     let ahead = traffic.admit(now, demand(1, now, "ahead", 5, 100));
     assert!(matches!(ahead, Some(Verdict::Refuse { code: Code::OverShare, .. })), "{ahead:?}");
-    assert!(place(traffic.admit(now, demand(2, now, "behind", 5, 100))).is_some());
+    assert!(assigned_upstream(traffic.admit(now, demand(2, now, "behind", 5, 100))).is_some());
 }
 
-/// Most upstreams of a service are lost, so half of the promised capacity is served. By the
-/// promise nobody is beyond its share, and whoever asks most took what is left: another
-/// organisation waited all through and got a third of it. What an organisation got of what is
-/// really served decides who goes first.
+/// Guards against measuring shares against the configured capacity when most of a service's
+/// upstreams are lost and only half of that capacity is served. No organisation exceeded its share
+/// of the configured capacity, so the one that asked most took what was left, and another waited
+/// throughout and got a third as much. Precedence must follow each organisation's part of the tokens
+/// actually served.
 #[test]
 fn shares_follow_what_is_really_served() {
     let mut traffic = traffic(1_000_000.0, 1);
-    let told = |organisation: &str, tokens: f32| (Organisation::from(organisation), tokens);
+    let tokens_of = |organisation: &str, tokens: f32| (Organisation::from(organisation), tokens);
     let report = LoadReport {
-        served: vec![told("ahead", 900_000.0), told("behind", 200_000.0)],
-        asked: vec![told("ahead", 2_000_000.0), told("behind", 2_000_000.0)],
+        served: vec![tokens_of("ahead", 900_000.0), tokens_of("behind", 200_000.0)],
+        asked: vec![tokens_of("ahead", 2_000_000.0), tokens_of("behind", 2_000_000.0)],
         ..LoadReport::default()
     };
     traffic.on_report(Millis(100), "e-127.0.0.9".into(), report);
     let now = Millis(110);
-    assert!(place(traffic.admit(now, demand(1, now, "behind", 5, 9_000))).is_some());
-    // The engine would begin one more just in time; it is kept for the one that is behind.
+    assert!(assigned_upstream(traffic.admit(now, demand(1, now, "behind", 5, 9_000))).is_some());
+    // The engine could start one more request in time; that capacity is reserved for the
+    // organisation that is behind.
     assert_eq!(traffic.admit(now, demand(2, now, "ahead", 6, 100)), None);
-    assert!(place(traffic.admit(now, demand(3, now, "behind", 7, 100))).is_some());
+    assert!(assigned_upstream(traffic.admit(now, demand(3, now, "behind", 7, 100))).is_some());
 }
