--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,6 +1,8 @@
 //! The test suite: one binary, a module for each subject.
 
 mod answers;
+mod cached_parts;
+mod configuration_pull;
 mod connections;
 mod deposits;
 mod disk;
@@ -11,10 +13,10 @@
 mod fleet_load;
 mod input;
 mod isolation;
-mod kept;
 mod latency;
 mod listing;
 mod load;
+mod load_exchange;
 mod members;
 mod model_fleet;
 mod model_nodes;
@@ -25,7 +27,6 @@
 mod peers;
 mod pools;
 mod process;
-mod pulls;
 mod record;
 mod roster;
 mod shares;
@@ -33,6 +34,5 @@
 mod slots;
 mod stalls;
 mod support;
-mod totals;
 mod traffic;
 mod view;
--- a/tests/testsuite/roster.rs
+++ b/tests/testsuite/roster.rs
@@ -1,4 +1,4 @@
-//! Who is in the fleet: what entries and a control instance tell each other of it.
+//! Tests the roster: how entries and a control instance exchange the list of fleet members.
 
 use std::{collections::BTreeMap, net::IpAddr, sync::Arc};
 
@@ -23,7 +23,7 @@
 
 use crate::support::fleet_settings;
 
-const STEP: u64 = 40;
+const STEP_MS: u64 = 40;
 const ENTRIES: u8 = 195;
 const CONTROL: IpAddr = IpAddr::V4(std::net::Ipv4Addr::new(127, 0, 1, 1));
 
@@ -39,8 +39,8 @@
         ..fleet_settings()
     };
     let id = ReplicaId(settings.instance(), INITIAL_REPLICA);
-    let founding = Stored::initial(vec![Member { id: id.clone(), voter: true }]);
-    let machine = ControlMachine::new(Millis(0), id, founding, 7).expect("a founded record");
+    let initial = Stored::initial(vec![Member { id: id.clone(), voter: true }]);
+    let machine = ControlMachine::new(Millis(0), id, initial, 7).expect("a founded record");
     FleetNode::new(Arc::new(settings), Some(machine))
 }
 
@@ -49,38 +49,38 @@
     FleetNode::new(Arc::new(settings), None)
 }
 
-/// One control instance and its entries, with messages that arrive at once.
-struct World {
+/// Simulates a control instance and its entries, with messages delivered immediately.
+struct Simulation {
     now: u64,
     nodes: BTreeMap<Instance, FleetNode>,
-    /// Who is there, as each entry was last told.
+    /// The fleet's entries as last reported to each entry.
     known: BTreeMap<Instance, Vec<FleetEntry>>,
-    /// Bytes of answers about who is there.
+    /// The total size of the roster answers sent.
     roster_bytes: usize,
-    /// Answers about who is there that get lost from now on.
-    lost: usize,
-    /// Restarts as the control instance told of them.
+    /// How many of the next roster answers are dropped.
+    rosters_to_drop: usize,
+    /// The restarts that the control instance reported.
     restarts: Vec<(Instance, u32)>,
 }
 
-impl World {
-    fn new(entries: u8) -> World {
+impl Simulation {
+    fn new(entries: u8) -> Simulation {
         let mut nodes: BTreeMap<Instance, FleetNode> =
             (0..entries).map(|n| (instance_name(Role::Entry, entry_ip(n)), entry(n))).collect();
         nodes.insert(instance_name(Role::Control, CONTROL), control());
-        World {
+        Simulation {
             now: 0,
             nodes,
             known: BTreeMap::new(),
             roster_bytes: 0,
-            lost: 0,
+            rosters_to_drop: 0,
             restarts: Vec::new(),
         }
     }
 
-    fn play(&mut self, span: u64) {
-        for _ in 0..span / STEP {
-            self.now += STEP;
+    fn run_for(&mut self, span: u64) {
+        for _ in 0..span / STEP_MS {
+            self.now += STEP_MS;
             let names: Vec<Instance> = self.nodes.keys().cloned().collect();
             for name in names {
                 self.handle(&name, FleetInput::Tick);
@@ -116,8 +116,8 @@
         );
         if is_roster {
             self.roster_bytes += Payload::new(&message).bytes().len();
-            if self.lost > 0 {
-                self.lost -= 1;
+            if self.rosters_to_drop > 0 {
+                self.rosters_to_drop -= 1;
                 return;
             }
         }
@@ -130,66 +130,69 @@
     }
 }
 
-/// Guards against a fleet of hundreds that mostly sends lists of itself: each entry is told all
-/// others by each control instance, each second.
+/// Guards against roster traffic that grows with the square of the fleet: every control instance
+/// sent every entry the full list of entries each second.
 #[test]
 fn a_fleet_that_stays_the_same_is_not_listed_again() {
-    let mut world = World::new(ENTRIES);
-    world.play(5_000);
-    assert!(world.all_know(usize::from(ENTRIES)));
-    world.roster_bytes = 0;
-    world.play(10_000);
-    let bytes = world.roster_bytes / usize::from(ENTRIES) / 10;
+    let mut simulation = Simulation::new(ENTRIES);
+    simulation.run_for(5_000);
+    assert!(simulation.all_know(usize::from(ENTRIES)));
+    simulation.roster_bytes = 0;
+    simulation.run_for(10_000);
+    let bytes = simulation.roster_bytes / usize::from(ENTRIES) / 10;
     assert!(bytes < 100, "{bytes} bytes a second for each entry");
-    assert!(world.all_know(usize::from(ENTRIES)), "an entry forgot others");
+    assert!(
+        simulation.all_know(usize::from(ENTRIES)),
+        "an entry lost other entries from its roster"
+    );
 }
 
-/// The same must not hide that an entry has come or gone.
+/// Guards against entries that join or leave unnoticed because the roster is only sent on changes.
 #[test]
 fn entries_that_come_and_go_are_known_within_seconds() {
-    let mut world = World::new(20);
-    world.play(6_000);
-    let newcomer = instance_name(Role::Entry, entry_ip(40));
-    world.nodes.insert(newcomer, entry(40));
-    world.play(2_500);
-    assert!(world.all_know(21), "the newcomer is not known");
-    for gone in 0..5 {
-        world.nodes.remove(&instance_name(Role::Entry, entry_ip(gone)));
+    let mut simulation = Simulation::new(20);
+    simulation.run_for(6_000);
+    let new_entry = instance_name(Role::Entry, entry_ip(40));
+    simulation.nodes.insert(new_entry, entry(40));
+    simulation.run_for(2_500);
+    assert!(simulation.all_know(21), "the new entry is not known");
+    for removed in 0..5 {
+        simulation.nodes.remove(&instance_name(Role::Entry, entry_ip(removed)));
     }
-    // An entry counts for four seconds after it was last heard, here and at the control instance.
-    world.play(10_000);
-    assert!(world.all_know(16), "those that are gone are still known");
+    // An entry is listed for 4 s after its last message, both here and at the control instance.
+    simulation.run_for(10_000);
+    assert!(simulation.all_know(16), "removed entries are still known");
 }
 
-/// Guards against an entry that goes by an old list for good, since the newer one was lost on its
-/// way, or since the control instance started again and counts anew.
+/// Guards against an entry that uses an outdated roster for good because the newer one was lost in
+/// transit, or because the control instance restarted and its roster numbers start over.
 #[test]
 fn a_list_that_was_lost_is_told_again() {
-    let mut world = World::new(20);
-    world.play(6_000);
-    world.nodes.insert(instance_name(Role::Entry, entry_ip(40)), entry(40));
-    world.lost = 20;
-    world.play(4_000);
-    assert!(world.all_know(21), "the list was told only once");
-    world.nodes.insert(instance_name(Role::Control, CONTROL), control());
-    world.play(500);
-    world.nodes.remove(&instance_name(Role::Entry, entry_ip(3)));
-    world.play(12_000);
-    assert!(world.all_know(20), "the restarted control instance's list was not taken");
+    let mut simulation = Simulation::new(20);
+    simulation.run_for(6_000);
+    simulation.nodes.insert(instance_name(Role::Entry, entry_ip(40)), entry(40));
+    simulation.rosters_to_drop = 20;
+    simulation.run_for(4_000);
+    assert!(simulation.all_know(21), "the lost roster was not sent again");
+    simulation.nodes.insert(instance_name(Role::Control, CONTROL), control());
+    simulation.run_for(500);
+    simulation.nodes.remove(&instance_name(Role::Entry, entry_ip(3)));
+    simulation.run_for(12_000);
+    assert!(simulation.all_know(20), "the restarted control instance's roster was not accepted");
 }
 
-/// Guards against a process that starts again and again without anybody noticing: its own logs
-/// tell only of the last one.
+/// Guards against a process that restarts repeatedly without being noticed: its own logs cover only
+/// the last run.
 #[test]
 fn a_control_instance_counts_the_restarts_of_the_others() {
-    let mut world = World::new(3);
-    world.play(2_000);
-    assert!(world.restarts.is_empty(), "{:?}", world.restarts);
+    let mut simulation = Simulation::new(3);
+    simulation.run_for(2_000);
+    assert!(simulation.restarts.is_empty(), "{:?}", simulation.restarts);
     let name = instance_name(Role::Entry, entry_ip(1));
     for restarts in 1..=2 {
-        world.nodes.insert(name.clone(), entry(1));
-        world.play(2_000);
-        assert_eq!(world.restarts.last(), Some(&(name.clone(), restarts)));
+        simulation.nodes.insert(name.clone(), entry(1));
+        simulation.run_for(2_000);
+        assert_eq!(simulation.restarts.last(), Some(&(name.clone(), restarts)));
     }
-    assert_eq!(world.restarts.len(), 2);
+    assert_eq!(simulation.restarts.len(), 2);
 }
--- a/tests/testsuite/traffic.rs
+++ b/tests/testsuite/traffic.rs
@@ -204,8 +204,8 @@
     assert!(sent >= 10, "only {sent} requests reached it");
 }
 
-/// Guards against the same in a large fleet, where an entry's equal part of the rate is a quarter of
-/// a request per second. Every entry that had accumulated one request sent it at once, and the
+/// Guards against the same in a large fleet, where an entry's equal part of the rate is a quarter
+/// of a request per second. Every entry that had accumulated one request sent it at once, and the
 /// upstream crashed.
 #[test]
 fn a_cold_upstream_bears_a_large_fleet() {
@@ -239,8 +239,9 @@
     sent
 }
 
-/// Guards against ejecting all upstreams of a service when most of them look broken to one entry, as
-/// when the entry itself is partitioned: callers would be refused although some upstreams answer.
+/// Guards against ejecting all upstreams of a service when most of them look broken to one entry,
+/// as when the entry itself is partitioned: callers would be refused although some upstreams
+/// answer.
 #[test]
 fn failing_upstreams_are_set_aside_unless_most_fail() {
     let mut health = Health::default();
@@ -365,8 +366,8 @@
 /// Guards against measuring shares against the configured capacity when most of a service's
 /// upstreams are lost and only half of that capacity is served. No organisation exceeded its share
 /// of the configured capacity, so the one that asked most took what was left, and another waited
-/// throughout and got a third as much. Precedence must follow each organisation's part of the tokens
-/// actually served.
+/// throughout and got a third as much. Precedence must follow each organisation's part of the
+/// tokens actually served.
 #[test]
 fn shares_follow_what_is_really_served() {
     let mut traffic = traffic(1_000_000.0, 1);
