--- a/tests/testsuite/load_exchange.rs
+++ b/tests/testsuite/load_exchange.rs
@@ -171,8 +171,8 @@
     }
 }
 
-/// Guards against entries that never learn which prompt parts engines have cached, and so have these
-/// parts read again at other engines.
+/// Guards against entries that never learn which prompt parts engines have cached, and so have
+/// these parts read again at other engines.
 #[test]
 fn every_entry_hears_which_parts_are_kept() {
     for count in [3, 16, 17, 84] {
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -1,4 +1,4 @@
-//! Dispatchers, entries and upstreams that fail under load.
+//! Tests dispatchers, entries, connections and upstreams that fail under load.
 
 use std::{thread, time::Duration};
 
@@ -15,53 +15,58 @@
     Crowd, PATIENCE, World, check_answers, engine_owned_by, prompt, start, start_named,
 };
 
-/// An engine that never warms up, so that its cold limit holds all the time.
+/// Returns the configuration of an engine that never warms up, so that its cold slot limit always
+/// applies.
 fn cold_engine() -> EngineConfig {
     EngineConfig { warm_after: u32::MAX, ..EngineConfig::default() }
 }
 
-/// Longer than it takes to lose and to win a lease.
-const TAKE_OVER: Duration = Duration::from_secs(4);
+/// Longer than a lease takes to expire and to be won by another entry.
+const TAKEOVER_TIME: Duration = Duration::from_secs(4);
 
-fn assert_spared(world: &World) {
+fn assert_cold_limit_held(world: &World) {
     for engine in &world.engines {
         let record = engine.record();
-        assert_eq!(record.falls, 0, "a cold engine fell over");
-        assert!(record.most_while_cold <= 2, "{} ran at once", record.most_while_cold);
+        assert_eq!(record.falls, 0, "a cold engine crashed");
+        assert!(
+            record.most_while_cold <= 2,
+            "{} requests ran concurrently",
+            record.most_while_cold
+        );
     }
 }
 
-/// Returns the dispatching entry and the others of a failure domain with three entries.
-fn split(world: &World, domain: &str) -> (String, Vec<String>) {
+/// Returns the dispatcher of a failure domain, and the domain's other entries.
+fn dispatcher_and_others(world: &World, domain: &str) -> (String, Vec<String>) {
     let dispatcher = world.fleet.dispatcher_of("tutor", domain).expect("a dispatcher");
     let entries = world.fleet.entries().into_iter().map(|(instance, _)| instance);
     let others = entries.filter(|i| *i != dispatcher && i.contains(domain)).collect();
     (dispatcher, others)
 }
 
-// The machine with the dispatcher dies while requests wait. Were its slots forgotten or given
-// twice, candidates would wait for good, or the cold engine would fall over and fail them all.
+// Guards against slots that are lost or granted twice when the dispatcher is killed while requests
+// wait: callers would wait for good, or the cold engine would crash and fail all requests.
 #[test]
 fn a_killed_dispatcher_is_replaced_and_the_backlog_served() {
     let mut world = start(&["north"], 3, &cold_engine()).with_documents();
-    let (dispatcher, others) = split(&world, "north");
-    let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
-    assert!(crowd.wait_for(5));
+    let (dispatcher, others) = dispatcher_and_others(&world, "north");
+    let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
+    assert!(callers.wait_for(5));
     world.fleet.kill(&dispatcher);
-    assert!(crowd.wait_for(20), "the backlog is not served after the take-over");
-    let answers = crowd.finish();
+    assert!(callers.wait_for(20), "the backlog is not served after the takeover");
+    let answers = callers.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
-    assert_spared(&world);
+    assert_cold_limit_held(&world);
 }
 
-// A virtual machine is paused for maintenance with the dispatcher in it, and comes back after its
-// lease has passed on. It must not give slots that are another's to give by then.
+// Guards against a dispatcher that is paused, as with its virtual machine for maintenance, and on
+// resuming grants slots although its lease has passed to a successor.
 #[test]
 fn a_thawed_dispatcher_gives_no_slot_of_its_successor() {
     let world = start(&["north"], 3, &cold_engine()).with_documents();
-    let (dispatcher, others) = split(&world, "north");
-    let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
-    assert!(crowd.wait_for(5));
+    let (dispatcher, others) = dispatcher_and_others(&world, "north");
+    let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
+    assert!(callers.wait_for(5));
     world.fleet.signal(&dispatcher, "STOP");
     let replaced = wait_until(PATIENCE, || {
         others.iter().any(|i| {
@@ -69,19 +74,19 @@
             status.is_ok_and(|s| s.pools.iter().any(|p| p.service.as_str() == "tutor"))
         })
     });
-    assert!(replaced, "nobody takes over");
-    assert!(crowd.wait_for(10), "the successor does not serve");
+    assert!(replaced, "no other entry takes over");
+    assert!(callers.wait_for(10), "the successor does not serve");
     world.fleet.signal(&dispatcher, "CONT");
     let thawed = Crowd::start("thawed", world.fleet.entry(&dispatcher), "birch", 2, 10);
     assert!(thawed.wait_for(5), "the thawed entry does not serve");
-    assert!(crowd.wait_for(10));
-    check_answers(&crowd.finish());
+    assert!(callers.wait_for(10));
+    check_answers(&callers.finish());
     check_answers(&thawed.finish());
-    assert_spared(&world);
+    assert_cold_limit_held(&world);
 }
 
-// Guards against an entry that is frozen, whether it dispatches or not, and takes the engine that is
-// its by static share out of service for its whole failure domain.
+// Guards against a frozen entry, dispatcher or not, that takes the engine it owns by static share
+// out of service for its whole failure domain.
 #[test]
 fn a_frozen_entry_takes_no_engine_with_it() {
     let names: Vec<String> = (0..3).map(|n| format!("entry-north-{n}")).collect();
@@ -89,20 +94,21 @@
         let engine = engine_owned_by(owner, &names);
         let world = start_named(&["north"], 3, &cold_engine(), |_| engine.clone()).with_documents();
         let other = &names[(n + 1) % 3];
-        let crowd = Crowd::start("kept", world.fleet.entry(other), "alder", 5, 10);
-        assert!(crowd.wait_for(5));
+        let callers = Crowd::start("kept", world.fleet.entry(other), "alder", 5, 10);
+        assert!(callers.wait_for(5));
         world.fleet.signal(owner, "STOP");
-        thread::sleep(TAKE_OVER);
-        assert!(crowd.wait_for(10), "{owner} is frozen and nobody is served");
+        thread::sleep(TAKEOVER_TIME);
+        assert!(callers.wait_for(10), "no request is served while {owner} is frozen");
         world.fleet.signal(owner, "CONT");
-        assert!(crowd.wait_for(10));
-        check_answers(&crowd.finish());
-        assert_spared(&world);
+        assert!(callers.wait_for(10));
+        check_answers(&callers.finish());
+        assert_cold_limit_held(&world);
     }
 }
 
-// The lines between two failure domains go silent. Bakers on both sides still see their orders:
-// each side serves what it can, and nothing breaks when the lines come back.
+// Guards against an outage in either of two failure domains that are partitioned from each other,
+// and against faults when the partition heals. Each side must serve its own callers with its own
+// upstreams.
 #[test]
 fn a_failure_domain_that_is_cut_off_serves_and_rejoins() {
     let world = start(&["north", "south"], 2, &cold_engine()).with_documents();
@@ -110,7 +116,8 @@
     let south = Crowd::start("south", world.fleet.entry("entry-south-0"), "birch", 4, 10);
     assert!(north.wait_for(5) && south.wait_for(5));
     world.fleet.cut_domain("south", true);
-    // Long enough for both sides to notice: leases, sessions and freshness have run out.
+    // Long enough for both sides to detect the partition: leases, sessions and the configuration's
+    // freshness have expired.
     thread::sleep(Duration::from_secs(5));
     assert!(north.wait_for(10), "the north does not serve");
     assert!(south.wait_for(10), "the south does not serve");
@@ -120,30 +127,31 @@
     assert!(north.wait_for(10) && south.wait_for(10));
     check_answers(&north.finish());
     check_answers(&south.finish());
-    assert_spared(&world);
+    assert_cold_limit_held(&world);
 }
 
-// An entry is killed and comes back empty in the middle of the load. Its callers' answers are
-// gone; nobody else's may suffer, and it must serve again without anyone's help.
+// Guards against an entry that is killed under load and disturbs others' requests, or that does not
+// serve again after a restart without state. Only the answers of its own callers may be lost.
 #[test]
 fn a_restarted_entry_serves_again_and_disturbs_nobody() {
     let mut world = start(&["north"], 3, &cold_engine()).with_documents();
-    let (_, others) = split(&world, "north");
-    let kept = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
-    let lost = Crowd::start("lost", world.fleet.entry(&others[1]), "birch", 3, 10);
-    assert!(kept.wait_for(5) && lost.wait_for(5));
+    let (_, others) = dispatcher_and_others(&world, "north");
+    let unaffected = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
+    let affected = Crowd::start("lost", world.fleet.entry(&others[1]), "birch", 3, 10);
+    assert!(unaffected.wait_for(5) && affected.wait_for(5));
     world.fleet.kill(&others[1]);
-    assert!(kept.wait_for(10));
+    assert!(unaffected.wait_for(10));
     world.fleet.run(&others[1]).expect("a started entry");
-    assert!(lost.wait_for(10), "the restarted entry does not serve");
-    let answers = kept.finish();
+    assert!(affected.wait_for(10), "the restarted entry does not serve");
+    let answers = unaffected.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
-    check_answers(&lost.finish());
-    assert_spared(&world);
+    check_answers(&affected.finish());
+    assert_cold_limit_held(&world);
 }
 
-// One organisation sends far more than its queue holds to a single entry. It is told at once when
-// to come back; another organisation at the same entry gets every answer.
+// Guards against an organisation that floods one entry beyond its queue and delays others. It must
+// be refused at once with a retry delay, and another organisation at the same entry must get every
+// answer.
 #[test]
 fn a_flood_is_refused_at_once_and_costs_the_others_nothing() {
     let world = start(&["north"], 1, &cold_engine()).with_documents();
@@ -159,65 +167,68 @@
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
     let answers = flood.finish();
     let refused: Vec<_> = answers.iter().filter(|(_, answer)| answer.code == 3001).collect();
-    assert!(!refused.is_empty(), "nothing is refused");
+    assert!(!refused.is_empty(), "no request is refused");
     for (_, answer) in refused {
         assert_eq!(answer.outcome, "not-run");
-        assert!(answer.retry_after.is_some(), "no word of when to come back");
+        assert!(answer.retry_after.is_some(), "a refusal without a retry delay");
     }
 }
 
-// An engine loses its cache and is cold again; its load report goes on saying warm for a while.
-// Given its full load on the word of that report, it would fall over.
+// Guards against overloading an engine that has lost its cache and is cold again while its load
+// report still says warm. With its full warm load it would crash.
 #[test]
 fn a_warm_engine_gone_cold_without_notice_does_not_fall_over() {
     let engine = EngineConfig { warm_slots: 4, ..EngineConfig::default() };
     let world = start(&["north"], 2, &engine).with_documents();
-    let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 8, 15);
+    let callers = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 8, 15);
     let warmed = || world.engines[0].is_warm() && world.engines[0].running() > 2;
     assert!(wait_until(PATIENCE, warmed), "the engine is never given more than its cold limit");
     world.engines[0].turn_cold();
-    assert!(crowd.wait_for(20));
-    check_answers(&crowd.finish());
+    assert!(callers.wait_for(20));
+    check_answers(&callers.finish());
     assert_eq!(world.engines[0].record().falls, 0);
 }
 
-// A firewall forgets the connections between two instances: they stay open and carry nothing,
-// while new ones work. Demand and grants would be lost in them for good.
+// Guards against connections that stay open and carry nothing, as after a firewall has dropped
+// their state, while new connections work. Demand reports and grants sent on them would be lost for
+// good.
 #[test]
 fn connections_silent_for_good_are_replaced() {
     let world = start(&["north"], 3, &cold_engine()).with_documents();
-    let (dispatcher, others) = split(&world, "north");
-    let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
-    assert!(crowd.wait_for(5));
+    let (dispatcher, others) = dispatcher_and_others(&world, "north");
+    let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
+    assert!(callers.wait_for(5));
     for other in &others {
         world.fleet.link(other, &dispatcher).freeze_open();
         world.fleet.link(&dispatcher, other).freeze_open();
     }
-    assert!(crowd.wait_for(15), "nothing is served after the connections went silent");
+    assert!(callers.wait_for(15), "nothing is served after the connections went silent");
     let replaced = || world.fleet.metrics(&others[0]).contains("kingcup_peer_connections_replaced");
     assert!(wait_until(PATIENCE, replaced), "no connection was replaced");
-    check_answers(&crowd.finish());
-    assert_spared(&world);
+    check_answers(&callers.finish());
+    assert_cold_limit_held(&world);
 }
 
-// Two faults at once: the dispatcher dies in the moment in which the connections among the
-// others go silent, so that the vote for its successor must find new ones first.
+// Guards against a pool without a dispatcher when the dispatcher is killed at the moment the
+// connections among the other entries go silent. These connections must be replaced before a
+// successor can be elected.
 #[test]
 fn a_dispatcher_killed_while_connections_are_silent_is_replaced() {
     let mut world = start(&["north"], 3, &cold_engine()).with_documents();
-    let (dispatcher, others) = split(&world, "north");
-    let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
-    assert!(crowd.wait_for(5));
+    let (dispatcher, others) = dispatcher_and_others(&world, "north");
+    let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
+    assert!(callers.wait_for(5));
     world.fleet.link(&others[0], &others[1]).freeze_open();
     world.fleet.link(&others[1], &others[0]).freeze_open();
     world.fleet.kill(&dispatcher);
-    assert!(crowd.wait_for(15), "the backlog is not served");
-    check_answers(&crowd.finish());
-    assert_spared(&world);
+    assert!(callers.wait_for(15), "the backlog is not served");
+    check_answers(&callers.finish());
+    assert_cold_limit_held(&world);
 }
 
-// Two of a failure domain's three entries are lost and no majority can vote. The last one goes on
-// alone with the upstreams that are its by static share, within their cold limit.
+// Guards against a failure domain that stops serving when two of its three entries are lost and no
+// majority can elect a dispatcher. The last entry must go on alone with the upstreams that it owns
+// by static share, within their cold slot limit.
 #[test]
 fn the_last_entry_of_a_failure_domain_serves_its_static_share() {
     let mut world = start(&["north"], 3, &cold_engine());
@@ -234,8 +245,8 @@
         world.engines.push(engine);
     }
     let mut world = world.with_documents();
-    let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
-    assert!(crowd.wait_for(5));
+    let callers = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
+    assert!(callers.wait_for(5));
     world.fleet.kill("entry-north-1");
     world.fleet.kill("entry-north-2");
     let alone = || {
@@ -244,13 +255,14 @@
             s.pools.iter().any(|p| p.service.as_str() == "tutor" && p.term.is_none())
         })
     };
-    assert!(wait_until(PATIENCE, alone), "no static share begins");
-    assert!(crowd.wait_for(10), "the last entry does not serve");
-    check_answers(&crowd.finish());
-    assert_spared(&world);
+    assert!(wait_until(PATIENCE, alone), "the last entry does not start its static share");
+    assert!(callers.wait_for(10), "the last entry does not serve");
+    check_answers(&callers.finish());
+    assert_cold_limit_held(&world);
 }
 
-// An engine is about to be replaced and must get nothing new, while what it runs ends in peace.
+// Guards against new requests at an engine that is marked as leaving before its replacement, and
+// against cutting off the requests it still runs.
 #[test]
 fn a_leaving_upstream_gets_nothing_new_and_finishes_its_work() {
     let mut world = start(&["north"], 2, &EngineConfig::default());
@@ -264,22 +276,23 @@
     );
     world.engines.push(second);
     let world = world.with_documents();
-    let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 20);
+    let callers = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 20);
     assert!(wait_until(PATIENCE, || world.engines.iter().all(|e| e.record().begun.len() > 5)));
     let change = fresh_change_id().expect("a change id");
     let leave = Command::SetLeaving { change, upstream: "engine-north".into(), leaving: true };
     world.fleet.client().change(leave).expect("an accepted change");
-    // The promise is three seconds; the load goes on all the while.
+    // A leaving upstream gets no new requests after at most 3 s; the load continues meanwhile.
     thread::sleep(Duration::from_secs(3));
     let before = world.engines[0].record().begun.len();
-    assert!(crowd.wait_for(20), "the other engine does not serve");
-    assert_eq!(world.engines[0].record().begun.len(), before, "new work at a leaving engine");
-    let answers = crowd.finish();
+    assert!(callers.wait_for(20), "the other engine does not serve");
+    assert_eq!(world.engines[0].record().begun.len(), before, "a new request at a leaving engine");
+    let answers = callers.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
 }
 
-// An engine goes silent in the middle of a quote and the connection stays open. The entry notices,
-// asks again from where the answer stopped, and the baker sees one whole quote without a repeat.
+// Guards against an answer that stays incomplete when the engine goes silent in the middle and the
+// connection stays open. The entry must detect this and resume the answer where it stopped, and the
+// caller must get the complete answer without repeated parts.
 #[test]
 fn an_answer_that_goes_silent_is_resumed_where_it_stopped() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
@@ -292,8 +305,11 @@
         (asked, answer)
     });
     let silent = || engine.record().served.len() == 5;
-    assert!(wait_until(PATIENCE, silent), "the engine never began");
-    assert!(wait_until(PATIENCE, || engine.record().begun.len() > 1), "nobody asks again");
+    assert!(wait_until(PATIENCE, silent), "the engine did not start to answer");
+    assert!(
+        wait_until(PATIENCE, || engine.record().begun.len() > 1),
+        "the entry does not resume the answer"
+    );
     engine.go_silent_after(0);
     let (asked, answer) = caller.join().expect("a caller");
     assert!(answer.answers(&asked), "{answer:?}");
