--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines: carried out once, by one instance at a time, and at no caller's expense.
+//! Tests orders to engines: each is carried out by one instance at a time and without affecting
+//! callers.
 
 use std::{net::SocketAddr, thread, time::Duration};
 
@@ -33,7 +34,7 @@
     world.fleet.entries().into_iter().map(|(instance, _)| instance).collect()
 }
 
-fn is_settled(world: &World, instances: &[String], upstream: &str, number: u64) -> bool {
+fn is_carried_out(world: &World, instances: &[String], upstream: &str, number: u64) -> bool {
     let stage = world.fleet.order_stage(instances, upstream);
     stage.is_some_and(|(known, stage)| known == number && stage == "as ordered")
 }
@@ -46,21 +47,21 @@
     other
 }
 
-// An operator brings a new model to a pool while callers are served. Nobody's answer is cut, the
-// engine changes when it runs nothing, and it comes back as the cold engine it is.
+// Guards against answers cut off when an operator loads a new model into an engine while callers
+// are served. The engine must change only when idle, and must be treated as cold afterwards.
 #[test]
 fn a_model_is_loaded_under_load_at_nobodys_expense() {
     let world = start(&["north"], 2, &EngineConfig::default()).with_documents();
     let other = add_engine(&world);
-    let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 10);
-    assert!(crowd.wait_for(20));
+    let callers = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 10);
+    assert!(callers.wait_for(20));
     let number = world.fleet.order("engine-north", load("second")).expect("an order");
-    let settled = || is_settled(&world, &entries(&world), "engine-north", number);
-    assert!(wait_until(PATIENCE, settled), "the order is not carried out");
+    let carried_out = || is_carried_out(&world, &entries(&world), "engine-north", number);
+    assert!(wait_until(PATIENCE, carried_out), "the order is not carried out");
     let begun = world.engines[0].record().begun.len();
-    let works_again = || world.engines[0].record().begun.len() > begun;
-    assert!(wait_until(PATIENCE, works_again), "the changed engine gets no requests");
-    let answers = crowd.finish();
+    let serves_again = || world.engines[0].record().begun.len() > begun;
+    assert!(wait_until(PATIENCE, serves_again), "the changed engine gets no requests");
+    let answers = callers.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
     assert_eq!(world.engines[0].setup().model, "second");
     assert_eq!(other.setup().model, FIRST_MODEL);
@@ -69,15 +70,16 @@
     assert!(record.ordered.iter().all(|(known, _)| *known == number), "{:?}", record.ordered);
 }
 
-fn order_directly(engine: SocketAddr, number: u64, model: &str) -> u16 {
+fn send_order_directly(engine: SocketAddr, number: u64, model: &str) -> u16 {
     let order = OrderRequest { number, model: Some(model.to_owned()), role: None, drained: None };
     let body = serde_json::to_string(&order).expect("plain data");
     Caller::new("").post(engine, ORDER_PATH, &body, None).status
 }
 
-// An order of an earlier dispatcher was held up in the network and arrives after a later one. An
-// engine that checks fencing numbers refuses it. One that ignores them would serve the wrong model
-// for good; it is found by reading it back and ordered anew.
+// Guards against an earlier dispatcher's order that is delayed in the network and takes effect
+// after a later one. An engine that checks fencing numbers refuses it. An engine that ignores them
+// would serve the wrong model for good, so its setup must be read back and the later order sent
+// again.
 #[test]
 fn an_order_that_arrives_late_does_not_last() {
     for checks_numbers in [true, false] {
@@ -85,16 +87,21 @@
         let world = start(&["north"], 1, &engine).with_documents();
         let instances = entries(&world);
         let first = world.fleet.order("engine-north", load("second")).expect("an order");
-        assert!(wait_until(PATIENCE, || is_settled(&world, &instances, "engine-north", first)));
+        assert!(wait_until(PATIENCE, || is_carried_out(&world, &instances, "engine-north", first)));
         let second = world.fleet.order("engine-north", load("third")).expect("an order");
-        assert!(wait_until(PATIENCE, || is_settled(&world, &instances, "engine-north", second)));
-        let status = order_directly(world.engines[0].address(), first, "second");
+        assert!(wait_until(PATIENCE, || is_carried_out(
+            &world,
+            &instances,
+            "engine-north",
+            second
+        )));
+        let status = send_order_directly(world.engines[0].address(), first, "second");
         assert_eq!(status, if checks_numbers { 409 } else { 202 });
-        let is_right = || {
+        let has_third_model = || {
             let setup = world.engines[0].setup();
             setup.model == "third" && setup.ready
         };
-        assert!(wait_until(PATIENCE, is_right), "the late order lasts");
+        assert!(wait_until(PATIENCE, has_third_model), "the delayed order remains in effect");
         let outdated = world.engines[0].record().outdated;
         assert_eq!(outdated, if checks_numbers { vec![first] } else { vec![] });
         let asked = prompt("after", "alder", 3);
@@ -105,14 +112,14 @@
     }
 }
 
-// The dispatcher is frozen while it waits for an engine to finish, with an order in its hands, and
-// wakes after its successor has carried out a newer one. It must not send the old order then.
+// Guards against a dispatcher that is frozen while an order waits for an engine to become idle, and
+// that sends this order once thawed although its successor has carried out a newer one.
 #[test]
 fn a_thawed_dispatcher_sends_no_old_order() {
     let world = start(&["north"], 3, &EngineConfig::default()).with_documents();
     let dispatcher = world.fleet.dispatcher_of("tutor", "north").expect("a dispatcher");
     let others: Vec<String> = entries(&world).into_iter().filter(|i| *i != dispatcher).collect();
-    // A long answer keeps the engine from being changed.
+    // A long answer keeps the engine busy, so that the order waits.
     let entry = world.fleet.entry(&others[0]);
     let long = thread::spawn(move || {
         let asked = prompt("long", "alder", 400);
@@ -124,7 +131,7 @@
         let stage = world.fleet.order_stage(std::slice::from_ref(&dispatcher), "engine-north");
         stage.is_some_and(|(number, stage)| number == first && stage == "finishing its requests")
     };
-    assert!(wait_until(PATIENCE, waits), "the order does not wait");
+    assert!(wait_until(PATIENCE, waits), "the order does not wait for the engine");
     world.fleet.signal(&dispatcher, "STOP");
     let change = ops::fresh_change_id().expect("a change id");
     let command = Command::Order { change, upstream: "engine-north".into(), setup: load("third") };
@@ -137,15 +144,15 @@
     world.fleet.signal(&dispatcher, "CONT");
     let thawed = || world.fleet.status(&dispatcher).is_ok_and(|s| s.fresh && s.pools.is_empty());
     assert!(wait_until(PATIENCE, thawed), "the thawed entry still dispatches");
-    assert!(long.join().expect("a caller"), "the long answer is cut");
+    assert!(long.join().expect("a caller"), "the long answer is cut off");
     let record = world.engines[0].record();
     let numbers: Vec<u64> = record.ordered.iter().map(|(number, _)| *number).collect();
     assert!(numbers.is_sorted() && numbers.iter().all(|number| *number > first), "{numbers:?}");
     assert_eq!(record.ordered_while_busy, 0);
 }
 
-// Guards against an order that waits for as long as an entry is frozen, since that entry might be
-// using the engine by static share, though the engine reports that it runs nothing.
+// Guards against an order that waits for as long as the engine's static-share owner is frozen. That
+// entry might be using the engine, but the engine reports that it runs no requests.
 #[test]
 fn an_order_is_carried_out_beside_a_frozen_owner() {
     let names: Vec<String> = (0..3).map(|n| format!("entry-north-{n}")).collect();
@@ -162,14 +169,18 @@
             let setup = world.engines[0].setup();
             setup.model == "second" && setup.ready
         };
-        assert!(wait_until(PATIENCE, is_second), "{owner} is frozen and holds the order up");
+        assert!(
+            wait_until(PATIENCE, is_second),
+            "the order is not carried out while {owner} is frozen"
+        );
         world.fleet.signal(owner, "CONT");
         assert_eq!(world.engines[0].record().ordered_while_busy, 0);
     }
 }
 
-// The dispatcher dies while the only engine of its pool loads. Its successor knows nothing of the
-// order but what the record and the engine say, and must bring the engine back to work.
+// Guards against an engine left out of service when the dispatcher is killed while the pool's only
+// engine loads a model. The successor knows the order only from the record and the engine's setup,
+// and must return the engine to service.
 #[test]
 fn an_order_survives_the_dispatcher_that_gave_it() {
     let engine =
@@ -177,42 +188,43 @@
     let mut world = start(&["north"], 3, &engine).with_documents();
     let dispatcher = world.fleet.dispatcher_of("tutor", "north").expect("a dispatcher");
     let others: Vec<String> = entries(&world).into_iter().filter(|i| *i != dispatcher).collect();
-    let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
-    assert!(crowd.wait_for(5));
+    let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
+    assert!(callers.wait_for(5));
     let number = world.fleet.order("engine-north", load("second")).expect("an order");
     let is_loading = || !world.engines[0].setup().ready;
-    assert!(wait_until(PATIENCE, is_loading), "the order is not given");
+    assert!(wait_until(PATIENCE, is_loading), "the order is not sent");
     world.fleet.kill(&dispatcher);
-    assert!(wait_until(PATIENCE, || is_settled(&world, &others, "engine-north", number)));
-    assert!(crowd.wait_for(10), "the engine does not work again");
-    check_answers(&crowd.finish());
+    assert!(wait_until(PATIENCE, || is_carried_out(&world, &others, "engine-north", number)));
+    assert!(callers.wait_for(10), "the engine does not serve again");
+    check_answers(&callers.finish());
     let record = world.engines[0].record();
     assert_eq!((record.ordered_while_busy, record.falls), (0, 0));
     assert_eq!(world.engines[0].setup().model, "second");
 }
 
-// An operator drains an engine for repair: it finishes what it runs, gets nothing new, and works
-// again when the order is taken back.
+// Guards against new requests at an engine that an operator has drained for repair, and against an
+// engine that does not serve again once the drain order is reverted. A drained engine finishes the
+// requests it runs.
 #[test]
 fn a_drained_engine_rests_until_it_is_ordered_back() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
     add_engine(&world);
-    let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
-    assert!(crowd.wait_for(10));
+    let callers = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
+    assert!(callers.wait_for(10));
     world.fleet.order("engine-north", SetupChange::Drained(true)).expect("an order");
-    let rests = || world.engines[0].setup().drained && world.engines[0].running() == 0;
-    assert!(wait_until(PATIENCE, rests), "it is not drained");
+    let is_drained = || world.engines[0].setup().drained && world.engines[0].running() == 0;
+    assert!(wait_until(PATIENCE, is_drained), "the engine is not drained");
     let begun = world.engines[0].record().begun.len();
-    assert!(crowd.wait_for(20), "the other engine does not serve");
+    assert!(callers.wait_for(20), "the other engine does not serve");
     assert_eq!(world.engines[0].record().begun.len(), begun);
     world.fleet.order("engine-north", SetupChange::Drained(false)).expect("an order");
-    let works = || world.engines[0].record().begun.len() > begun;
-    assert!(wait_until(PATIENCE, works), "it does not work again");
-    let answers = crowd.finish();
+    let serves_again = || world.engines[0].record().begun.len() > begun;
+    assert!(wait_until(PATIENCE, serves_again), "the engine does not serve again");
+    let answers = callers.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
 }
 
-// A slip in an order must not reach an engine, which might take it for a model's name.
+// Guards against a mistyped order reaching an engine, which might take it for a model's name.
 #[test]
 fn a_wrong_order_is_refused_with_a_number() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
@@ -224,21 +236,21 @@
     assert!(status.orders.is_empty());
 }
 
-/// A reconciler that was asked to load `model`s on engines a and b, driven directly.
-struct Drive {
+/// Drives a reconciler with orders to load the model `second` on engines `a` and `b`.
+struct ReconcilerDriver {
     reconciler: OrderReconciler,
     orders: Vec<UpstreamOrder>,
     is_idle: bool,
 }
 
-impl Drive {
-    fn new() -> Drive {
+impl ReconcilerDriver {
+    fn new() -> ReconcilerDriver {
         let order = |name: &str, index| UpstreamOrder {
             upstream: name.into(),
             setup: Setup { model: Some("second".to_owned()), ..Setup::default() },
             index,
         };
-        Drive {
+        ReconcilerDriver {
             reconciler: OrderReconciler::new(Millis(0), "tutor".into(), 1),
             orders: vec![order("a", 5), order("b", 6)],
             is_idle: true,
@@ -246,7 +258,7 @@
     }
 
     fn tick(&mut self, now: u64, lease_left: u64) -> Vec<EngineRequest> {
-        asks(self.tick_all(now, lease_left))
+        requests_in(self.tick_all(now, lease_left))
     }
 
     fn tick_all(&mut self, now: u64, lease_left: u64) -> Vec<OrderOutput> {
@@ -258,8 +270,8 @@
         out
     }
 
-    fn answer(&mut self, now: u64, ask: &EngineRequest, answer: EngineResponse) {
-        self.reconciler.on_response(Millis(now), &ask.id, answer, &mut Vec::new());
+    fn answer(&mut self, now: u64, request: &EngineRequest, answer: EngineResponse) {
+        self.reconciler.on_response(Millis(now), &request.id, answer, &mut Vec::new());
     }
 
     fn held(&self) -> Vec<UpstreamName> {
@@ -267,100 +279,112 @@
     }
 }
 
-fn asks(out: Vec<OrderOutput>) -> Vec<EngineRequest> {
-    let asks = out.into_iter().filter_map(|output| match output {
-        OrderOutput::Request(ask) => Some(ask),
+fn requests_in(out: Vec<OrderOutput>) -> Vec<EngineRequest> {
+    let requests = out.into_iter().filter_map(|output| match output {
+        OrderOutput::Request(request) => Some(request),
         _ => None,
     });
-    asks.collect()
+    requests.collect()
 }
 
-fn holding(model: &str, ready: bool) -> EngineResponse {
+fn setup_with_model(model: &str, ready: bool) -> EngineResponse {
     let (model, role) = (model.to_owned(), "mixed".to_owned());
     EngineResponse::Setup(EngineSetup { model, role, drained: false, ready })
 }
 
-// Two engines of a pool are ordered at once. Were both emptied together, a model that can't be
-// loaded would take the whole pool with it.
+// Guards against changing two engines of a pool at the same time when both have orders: a model
+// that can't be loaded would take the whole pool out of service.
 #[test]
 fn one_engine_of_a_pool_changes_at_a_time() {
-    let mut drive = Drive::new();
-    for ask in drive.tick(0, 1_800) {
-        assert!(ask.order.is_none(), "ordered before it was read");
-        drive.answer(1, &ask, holding("first", true));
+    let mut driver = ReconcilerDriver::new();
+    for request in driver.tick(0, 1_800) {
+        assert!(request.order.is_none(), "an order was sent before the engine's setup was read");
+        driver.answer(1, &request, setup_with_model("first", true));
     }
-    assert!(drive.tick(100, 1_800).is_empty(), "ordered while an earlier order may be under way");
-    drive.tick(2_100, 1_800);
-    assert_eq!(drive.held(), [UpstreamName::from("a")]);
-    let ordered = drive.tick(2_125, 1_800);
+    assert!(
+        driver.tick(100, 1_800).is_empty(),
+        "an order was sent while an earlier one may be in transit"
+    );
+    driver.tick(2_100, 1_800);
+    assert_eq!(driver.held(), [UpstreamName::from("a")]);
+    let ordered = driver.tick(2_125, 1_800);
     assert_eq!(ordered.len(), 1);
     assert_eq!(ordered[0].order.as_ref().map(|order| order.index), Some(5));
-    drive.answer(2_130, &ordered[0], EngineResponse::Accepted);
-    let read = drive.tick(2_150, 1_800);
-    drive.answer(2_160, &read[0], holding("second", false));
-    assert_eq!(drive.held(), [UpstreamName::from("a")]);
-    let read = drive.tick(2_500, 1_800);
-    drive.answer(2_510, &read[0], holding("second", true));
-    assert!(drive.held().is_empty());
-    drive.tick(2_525, 1_800);
-    assert_eq!(drive.held(), [UpstreamName::from("b")]);
+    driver.answer(2_130, &ordered[0], EngineResponse::Accepted);
+    let read = driver.tick(2_150, 1_800);
+    driver.answer(2_160, &read[0], setup_with_model("second", false));
+    assert_eq!(driver.held(), [UpstreamName::from("a")]);
+    let read = driver.tick(2_500, 1_800);
+    driver.answer(2_510, &read[0], setup_with_model("second", true));
+    assert!(driver.held().is_empty());
+    driver.tick(2_525, 1_800);
+    assert_eq!(driver.held(), [UpstreamName::from("b")]);
 }
 
-// The order to drain one engine is withdrawn in the moment another's turn comes: as many engines
-// are held as before, and not the same ones. Unless that is told, the second goes on getting
-// requests under load, never runs empty, and its order waits for good.
+// Guards against an order that waits for good because a change of the held engines is not
+// reported. One engine's drain order is withdrawn at the moment another engine is due, so the
+// number of held engines stays the same. Without the report the second engine keeps getting
+// requests under load and never becomes idle.
 #[test]
 fn a_change_of_the_held_engines_is_told_though_their_number_stays() {
-    let mut drive = Drive::new();
-    drive.orders[0].setup = Setup { drained: Some(true), ..Setup::default() };
-    for ask in drive.tick(0, 1_800) {
-        // The first is drained as ordered, the second is to load a model.
-        let mut setup = holding("first", true);
-        if let EngineResponse::Setup(told) = &mut setup {
-            told.drained = ask.id.upstream.as_str() == "a";
+    let mut driver = ReconcilerDriver::new();
+    driver.orders[0].setup = Setup { drained: Some(true), ..Setup::default() };
+    for request in driver.tick(0, 1_800) {
+        // The first engine is drained as ordered; the second is due to load a model.
+        let mut setup = setup_with_model("first", true);
+        if let EngineResponse::Setup(reported) = &mut setup {
+            reported.drained = request.id.upstream.as_str() == "a";
         }
-        drive.answer(1, &ask, setup);
+        driver.answer(1, &request, setup);
     }
-    drive.tick(25, 1_800);
-    assert_eq!(drive.held(), [UpstreamName::from("a")]);
-    drive.orders.remove(0);
-    let out = drive.tick_all(2_100, 1_800);
-    assert_eq!(drive.held(), [UpstreamName::from("b")]);
+    driver.tick(25, 1_800);
+    assert_eq!(driver.held(), [UpstreamName::from("a")]);
+    driver.orders.remove(0);
+    let out = driver.tick_all(2_100, 1_800);
+    assert_eq!(driver.held(), [UpstreamName::from("b")]);
     assert!(out.iter().any(|output| matches!(output, OrderOutput::HeldChanged)), "{out:?}");
 }
 
-// A lease is about to run out. An order sent now could reach the engine when the next holder has
-// begun to order; so it waits for the renewal. An engine that still runs something is not ordered.
+// Guards against an order that is sent shortly before the lease expires and reaches the engine
+// after the next holder has sent its own; it must wait for the renewal. Also guards against an
+// order to an engine that still runs requests.
 #[test]
 fn an_order_is_sent_within_the_lease_and_to_an_idle_engine_only() {
-    let mut drive = Drive::new();
-    for ask in drive.tick(0, 1_800) {
-        drive.answer(1, &ask, holding("first", true));
+    let mut driver = ReconcilerDriver::new();
+    for request in driver.tick(0, 1_800) {
+        driver.answer(1, &request, setup_with_model("first", true));
     }
-    drive.tick(2_100, 1_800);
-    assert!(drive.tick(2_125, 900).is_empty(), "ordered with too little of the lease left");
-    drive.is_idle = false;
-    assert!(drive.tick(2_150, 1_800).is_empty(), "ordered while it runs requests");
-    drive.is_idle = true;
-    assert_eq!(drive.tick(2_175, 1_800).len(), 1);
+    driver.tick(2_100, 1_800);
+    assert!(
+        driver.tick(2_125, 900).is_empty(),
+        "an order was sent with too little of the lease left"
+    );
+    driver.is_idle = false;
+    assert!(
+        driver.tick(2_150, 1_800).is_empty(),
+        "an order was sent while the engine runs requests"
+    );
+    driver.is_idle = true;
+    assert_eq!(driver.tick(2_175, 1_800).len(), 1);
 }
 
-// An answer to an earlier question comes late, as when its thread stood still. It speaks of a time
-// before the order, and "as wanted" then would set an engine free that loads now.
+// Guards against a delayed response to an earlier request, as from a thread that was paused. It
+// describes the engine's setup before the newer order; taken as confirmation of that order, it
+// would release an engine that is still loading.
 #[test]
 fn a_late_answer_says_nothing_about_a_newer_order() {
-    let mut drive = Drive::new();
-    let early = drive.tick(0, 1_800);
-    drive.orders[0].index = 9;
-    drive.orders[0].setup.model = Some("third".to_owned());
-    let again = drive.tick(25, 1_800);
-    assert_eq!(again.len(), 1);
-    drive.answer(30, &early[0], holding("second", true));
-    let stage = |drive: &Drive| {
-        let mut stages = drive.reconciler.stages();
+    let mut driver = ReconcilerDriver::new();
+    let delayed = driver.tick(0, 1_800);
+    driver.orders[0].index = 9;
+    driver.orders[0].setup.model = Some("third".to_owned());
+    let second = driver.tick(25, 1_800);
+    assert_eq!(second.len(), 1);
+    driver.answer(30, &delayed[0], setup_with_model("second", true));
+    let stage = |driver: &ReconcilerDriver| {
+        let mut stages = driver.reconciler.stages();
         stages.find(|(name, ..)| name.as_str() == "a").map(|(_, number, stage)| (number, stage))
     };
-    assert_eq!(stage(&drive), Some((9, "not read yet".to_owned())));
-    drive.answer(40, &again[0], holding("third", true));
-    assert_eq!(stage(&drive), Some((9, "as ordered".to_owned())));
+    assert_eq!(stage(&driver), Some((9, "not read yet".to_owned())));
+    driver.answer(40, &second[0], setup_with_model("third", true));
+    assert_eq!(stage(&driver), Some((9, "as ordered".to_owned())));
 }
