--- a/tests/testsuite/entry.rs
+++ b/tests/testsuite/entry.rs
@@ -1,4 +1,4 @@
-//! An entry's decisions, driven directly.
+//! Tests the state machine of an entry directly.
 
 use kingcupgrade::{
     coordination::{
@@ -14,8 +14,9 @@
 
 use crate::support::orders_document;
 
-// The record is slow, and the claim of a deposit comes back after the caller's deadline. Sent
-// then, the deposit could only time out and be unknown; unsent it is surely not run.
+// Guards against sending a deposit whose claim is granted only after the caller's deadline because
+// the record is slow. If it were sent then, it could only time out with an unknown outcome; unsent,
+// it certainly has not run.
 #[test]
 fn a_claim_that_comes_after_the_deadline_sends_nothing() {
     let document = Document::parse(&orders_document()).expect("a valid document");
@@ -46,7 +47,7 @@
     assert!(out.iter().any(|output| matches!(output, EntryOutput::Claim(7))));
     out.clear();
     let late = Millis(document.limits.deadline_ms + 1);
-    assert!(entry.on_claimed(late, 7, Ok(()), &mut out), "the claim is not given back");
+    assert!(entry.on_claimed(late, 7, Ok(()), &mut out), "the claim is not released");
     let given_up = |o: &EntryOutput| {
         matches!(o, EntryOutput::GiveUp { id: 7, code: Code::DeadlineQueued, .. })
     };
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -1,35 +1,37 @@
-//! An entry whose processor can't carry what the balancer sends it.
+//! Tests load shedding at an entry whose processor can't handle the load that the balancer sends
+//! it.
 
 use std::collections::VecDeque;
 
 use kingcupgrade::{coordination::overload::Overload, core::Millis};
 
-/// One organisation sends most of the traffic through one entry. Its processor fell behind by
-/// seconds, and all its callers waited until they gave up, though other entries were idle. Here a
-/// processor carries 200 requests a second and gets 800; what it takes must come near what it
-/// carries, and the delay must stay small.
+/// Guards against an overloaded entry that accepts all requests. When one organisation sent most of
+/// the traffic through one entry, its processor fell behind by seconds and all its callers waited
+/// until they gave up, although other entries were idle. Here a processor handles 200 requests per
+/// second and gets 800; the number accepted must be close to its capacity, and the delay must stay
+/// small.
 #[test]
 fn an_entry_with_too_much_refuses_the_rest_at_once() {
     let mut overload = Overload::default();
     let mut behind_ms = 0.0_f64;
-    let mut taken = 0;
+    let mut accepted = 0;
     for turn in 0..2_000 {
         for _ in 0..8 {
             if overload.should_refuse() {
                 behind_ms += 0.2;
             } else {
                 behind_ms += 5.0;
-                taken += u32::from(turn >= 1_000);
+                accepted += u32::from(turn >= 1_000);
             }
         }
         behind_ms = (behind_ms - 10.0).max(0.0);
         overload.on_probe_delay(Millis(behind_ms as u64));
         assert!(turn < 200 || behind_ms < 250.0, "{behind_ms} ms behind at turn {turn}");
     }
-    assert!((1_200..2_400).contains(&taken), "{taken} requests taken in ten seconds");
+    assert!((1_200..2_400).contains(&accepted), "{accepted} requests accepted in ten seconds");
 }
 
-/// The rush is over. An entry that went on refusing would send its callers away for nothing.
+/// Guards against an entry that goes on refusing callers after the overload has ended.
 #[test]
 fn refusing_ends_with_the_rush() {
     let mut overload = Overload::default();
@@ -43,8 +45,8 @@
     assert!(!(0..100).any(|_| overload.should_refuse()) && !overload.is_full());
 }
 
-/// In a process that stood still for seconds one task has waited that long. Nothing is too much for
-/// it, and most callers must be served as before.
+/// Guards against taking a process that was suspended for seconds, so that one task waited that
+/// long, for an overloaded one. Most callers must be served as before.
 #[test]
 fn one_long_pause_is_no_overload() {
     let mut overload = Overload::default();
@@ -53,29 +55,30 @@
     assert!(refused <= 20, "{refused} of 100 refused");
 }
 
-/// What waits for its turn at an entry's processor.
+/// A task in the queue of an entry's processor.
 enum Task {
     Request,
     Probe,
 }
 
-/// An entry's processor, which carries out tasks in their order.
+/// A simulated processor that runs an entry's tasks in order of arrival.
 #[derive(Default)]
 struct Processor {
     overload: Overload,
     now_ms: f64,
-    /// Until when it is busy with a task.
-    busy_ms: f64,
+    /// The time until which it is busy with a task.
+    busy_until_ms: f64,
     tasks: VecDeque<(f64, Task)>,
     is_probing: bool,
 }
 
 impl Processor {
-    /// What serving a request takes, and refusing one.
-    const SERVED_MS: f64 = 5.0;
-    const REFUSED_MS: f64 = 0.8;
+    /// The processor time that serving or refusing a request takes.
+    const SERVE_COST_MS: f64 = 5.0;
+    const REFUSE_COST_MS: f64 = 0.8;
 
-    /// Plays a millisecond with so many requests in it, and returns how long the next task waits.
+    /// Simulates a millisecond in which `requests` requests arrive, and returns how long the next
+    /// task has waited.
     fn step(&mut self, requests: u32) -> f64 {
         self.now_ms += 1.0;
         self.tasks.extend((0..requests).map(|_| (self.now_ms, Task::Request)));
@@ -83,13 +86,14 @@
             self.is_probing = true;
             self.tasks.push_back((self.now_ms, Task::Probe));
         }
-        while self.busy_ms <= self.now_ms {
+        while self.busy_until_ms <= self.now_ms {
             let Some((queued, task)) = self.tasks.pop_front() else { break };
             match task {
                 Task::Request => {
                     self.overload.on_delay(Millis((self.now_ms - queued) as u64));
                     let refuses = self.overload.should_refuse();
-                    self.busy_ms += if refuses { Self::REFUSED_MS } else { Self::SERVED_MS };
+                    self.busy_until_ms +=
+                        if refuses { Self::REFUSE_COST_MS } else { Self::SERVE_COST_MS };
                 }
                 Task::Probe => {
                     self.is_probing = false;
@@ -97,21 +101,22 @@
                 }
             }
         }
-        self.busy_ms = self.busy_ms.max(self.now_ms);
+        self.busy_until_ms = self.busy_until_ms.max(self.now_ms);
         self.tasks.front().map_or(0.0, |(queued, _)| self.now_ms - queued)
     }
 }
 
-/// Guards against an entry that notices too late how far behind it is: the further, the more seldom
-/// it looks, and requests of callers that have left by then are still sent on.
+/// Guards against an entry that detects overload too late, because it measures the less often the
+/// further its processor is behind, and that still sends on requests of callers that have left.
 #[test]
 fn an_entry_that_a_rush_meets_is_not_far_behind_for_long() {
     let mut processor = Processor::default();
-    let mut far = 0;
+    let mut late_ms = 0;
     for now in 0..10_000_u32 {
-        // Half of what it carries for a second, then four times that.
+        // For a second half of the load that the processor can handle, then four times what it can
+        // handle.
         let is_due = if now < 1_000 { now.is_multiple_of(10) } else { now % 5 < 4 };
-        far += u32::from(processor.step(u32::from(is_due)) > 500.0);
+        late_ms += u32::from(processor.step(u32::from(is_due)) > 500.0);
     }
-    assert!(far < 500, "{far} ms of ten seconds over half a second behind");
+    assert!(late_ms < 500, "{late_ms} ms of ten seconds over half a second behind");
 }
--- a/tests/testsuite/slots.rs
+++ b/tests/testsuite/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of one upstream.
+//! Tests the slot accounting of one upstream.
 
 use kingcupgrade::{
     coordination::dispatcher::slots::{Listed, LoadReport, Slots},
@@ -15,29 +15,34 @@
     }
 }
 
-fn proven(now: u64, warm: bool) -> Slots {
+fn slots_with_running_report(now: u64, warm: bool) -> Slots {
     let limits = SlotLimits { cold: 2, warm: 8 };
     let mut slots = Slots::new(Millis(0), &listed(0, warm), limits);
     slots.on_listed(Millis(now), Millis(0), Millis(1_000), &listed(0, warm), |_| 0);
     slots
 }
 
-// A busy service refuses a burst of connections for a moment. Were each of them a failure of its
-// own, the pause would be the longest one at once, and orders would wait beside an idle service.
+// Guards against backing off longest at once when a busy service briefly refuses a burst of
+// connections. If each refusal counted as a separate failure, requests would wait although the
+// service is idle.
 #[test]
 fn requests_that_fail_together_pause_an_upstream_once() {
-    let mut slots = proven(1_000, true);
+    let mut slots = slots_with_running_report(1_000, true);
     for _ in 0..50 {
         slots.on_failure(Millis(1_000));
     }
     assert_eq!(slots.free(Millis(1_100), 0, 0), 0);
-    assert!(slots.free(Millis(1_500), 0, 0) > 0, "paused for longer than once");
+    assert!(
+        slots.free(Millis(1_500), 0, 0) > 0,
+        "the pause is longer than that of a single failure"
+    );
 }
 
-// An engine turns cold, which a refusal shows, while its report of a moment before says warm.
+// Guards against raising the slot limit on a stale load report: an engine has turned cold, which a
+// refusal shows, while a report from before the refusal still says warm.
 #[test]
 fn a_report_older_than_the_trouble_is_not_believed() {
-    let mut slots = proven(1_000, true);
+    let mut slots = slots_with_running_report(1_000, true);
     for _ in 0..6 {
         slots.on_completed(Millis(1_100), Millis(1_050), Some(10));
     }
@@ -45,8 +50,8 @@
     slots.on_failure(Millis(2_000));
     slots.on_listed(Millis(2_400), Millis(0), Millis(1_000), &listed(500, true), |_| 0);
     slots.on_completed(Millis(2_500), Millis(2_450), Some(10));
-    assert_eq!(slots.limit(), 2, "grown on the word of an old report");
+    assert_eq!(slots.limit(), 2, "the limit grew because of a stale report");
     slots.on_listed(Millis(2_800), Millis(0), Millis(1_000), &listed(100, true), |_| 0);
     slots.on_completed(Millis(2_900), Millis(2_850), Some(10));
-    assert_eq!(slots.limit(), 3, "not grown on the word of a new one");
+    assert_eq!(slots.limit(), 3, "the limit did not grow after a current report");
 }
--- a/tests/testsuite/view.rs
+++ b/tests/testsuite/view.rs
@@ -1,4 +1,4 @@
-//! The configuration that an instance goes by.
+//! Tests an instance's view of the configuration.
 
 use kingcupgrade::{
     coordination::view::View,
@@ -25,23 +25,24 @@
     }
 }
 
-/// An entry restarts. A control instance still believes it to have what it had before, and tells it
-/// of a later change only; another one, behind, gives it an old configuration. The entry asked for
-/// changes after the later one from then on, and refused callers of newer routes for many seconds.
+/// Guards against an entry that misses configuration changes after a restart. One control instance
+/// assumes that the entry still has what it had before the restart and sends only a later change;
+/// another one, which lags, sends an old configuration. From then on the entry asked only for
+/// changes after the later one, and refused callers of newer routes for many seconds.
 #[test]
 fn a_state_meant_for_the_process_before_does_not_hide_the_configuration() {
     let mut view = View::default();
     view.merge(&state(0, 116, Some((77, 116))));
     view.merge(&state(117, 118, None));
-    assert_eq!(view.index(), 116, "changes up to 118 are taken as known");
-    // It asks for what came after 116, and is told.
+    assert_eq!(view.index(), 116, "changes up to index 118 are taken as known");
+    // The entry asks for changes after index 116 and receives them.
     view.merge(&state(116, 118, Some((80, 117))));
     assert_eq!(view.whole().map(|whole| whole.version), Some(80));
     assert_eq!(view.index(), 118);
 }
 
-/// The same state must not confirm what the entry goes by: it would send requests to a failure
-/// domain that was taken out meanwhile.
+/// Guards against a state meant for the earlier process that confirms the entry's configuration:
+/// the entry would send requests to a failure domain that has been taken out of service meanwhile.
 #[test]
 fn a_state_meant_for_the_process_before_confirms_nothing() {
     let mut view = View::default();
