--- a/tests/testsuite/listing.rs
+++ b/tests/testsuite/listing.rs
@@ -1,4 +1,5 @@
-//! Who reads the platform's list of upstreams, and when, and what is told of it.
+//! Tests which entries read the platform's list of upstreams, and when, and how changes are
+//! distributed.
 
 use kingcupgrade::{
     coordination::listing::{KnownListing, ListingDuty, ListingPlan, Neighbours},
@@ -11,16 +12,16 @@
 }
 
 const DOMAINS: usize = 5;
-const PER_DOMAIN: usize = 39;
-/// How long one reading takes.
-const READING: u64 = 20;
+const ENTRIES_PER_DOMAIN: usize = 39;
+/// How long reading the list takes, in milliseconds.
+const READ_DURATION_MS: u64 = 20;
 
 struct Entry {
     domain: usize,
     duty: ListingDuty,
     plan: ListingPlan,
-    /// When a reading that is under way ends.
-    reading: Option<u64>,
+    /// When the current reading ends, if one is in progress.
+    read_ends_at: Option<u64>,
 }
 
 /// The entries of a fleet in several failure domains.
@@ -31,67 +32,69 @@
 
 impl Fleet {
     fn new() -> Fleet {
-        let fleet = entries(DOMAINS * PER_DOMAIN);
-        let entries = fleet.iter().enumerate().map(|(place, name)| {
-            let domain = place / PER_DOMAIN;
-            let here = &fleet[domain * PER_DOMAIN..(domain + 1) * PER_DOMAIN];
+        let fleet = entries(DOMAINS * ENTRIES_PER_DOMAIN);
+        let entries = fleet.iter().enumerate().map(|(position, name)| {
+            let domain = position / ENTRIES_PER_DOMAIN;
+            let here = &fleet[domain * ENTRIES_PER_DOMAIN..(domain + 1) * ENTRIES_PER_DOMAIN];
             let duty = Neighbours { fleet: &fleet, domain: here }.duty(name);
-            Entry { domain, duty, plan: ListingPlan::new(name), reading: None }
+            Entry { domain, duty, plan: ListingPlan::new(name), read_ends_at: None }
         });
         Fleet { entries: entries.collect(), reads: 0 }
     }
 
-    /// Plays a millisecond, in which those for whom `is_lost` holds do nothing and hear nothing.
+    /// Simulates a millisecond, in which the entries for which `is_lost` returns true neither act
+    /// nor receive messages.
     fn step(&mut self, now: u64, is_lost: impl Fn(&Entry) -> bool) {
-        let mut told = Vec::new();
+        let mut completed = Vec::new();
         for entry in self.entries.iter_mut() {
             if is_lost(entry) {
-                entry.reading = None;
+                entry.read_ends_at = None;
                 continue;
             }
-            if entry.reading.is_none() && entry.plan.is_due(Millis(now), entry.duty) {
+            if entry.read_ends_at.is_none() && entry.plan.is_due(Millis(now), entry.duty) {
                 self.reads += 1;
-                entry.reading = Some(now + READING);
+                entry.read_ends_at = Some(now + READ_DURATION_MS);
             }
-            if entry.reading.is_some_and(|end| end <= now) {
-                entry.reading = None;
-                entry.plan.on_read(Millis(now), true, DOMAINS * PER_DOMAIN);
-                told.push((entry.domain, entry.duty));
+            if entry.read_ends_at.is_some_and(|end| end <= now) {
+                entry.read_ends_at = None;
+                entry.plan.on_read(Millis(now), true, DOMAINS * ENTRIES_PER_DOMAIN);
+                completed.push((entry.domain, entry.duty));
             }
         }
-        for (domain, duty) in told {
+        for (domain, duty) in completed {
             for entry in self.entries.iter_mut().filter(|entry| !is_lost(entry)) {
-                let is_told = match duty {
+                let receives = match duty {
                     ListingDuty::Reads => true,
                     ListingDuty::Hears => false,
                     ListingDuty::StandsIn | ListingDuty::StandsInSecond => entry.domain == domain,
                 };
-                if is_told {
-                    entry.plan.on_received(Millis(now), Millis(READING));
+                if receives {
+                    entry.plan.on_received(Millis(now), Millis(READ_DURATION_MS));
                 }
             }
         }
     }
 
-    fn oldest(&self, now: u64, is_lost: impl Fn(&Entry) -> bool) -> Millis {
+    fn max_age(&self, now: u64, is_lost: impl Fn(&Entry) -> bool) -> Millis {
         let alive = self.entries.iter().filter(|entry| !is_lost(entry));
         alive.map(|entry| entry.plan.age(Millis(now))).max().unwrap_or_default()
     }
 
-    /// Plays ten seconds, and some more in which some are lost; returns how old a list gets.
-    fn oldest_without(&mut self, span: u64, is_lost: impl Fn(&Entry) -> bool) -> Millis {
+    /// Simulates 10 s without failures, then `span` ms in which the entries for which `is_lost`
+    /// returns true are lost. Returns the maximum age of any other entry's list meanwhile.
+    fn max_age_without(&mut self, span: u64, is_lost: impl Fn(&Entry) -> bool) -> Millis {
         (0..10_000).for_each(|now| self.step(now, |_| false));
-        let mut oldest = Millis::ZERO;
+        let mut max_age = Millis::ZERO;
         for now in 10_000..10_000 + span {
             self.step(now, &is_lost);
-            oldest = oldest.max(self.oldest(now, &is_lost));
+            max_age = max_age.max(self.max_age(now, &is_lost));
         }
-        oldest
+        max_age
     }
 }
 
-/// Guards against a list that is read by more entries than need to: each call is priced, and beyond
-/// a few a second the platform refuses them.
+/// Guards against more entries reading the list than necessary: each call is priced, and the
+/// platform refuses more than a few calls per second.
 #[test]
 fn one_entry_of_the_fleet_reads_the_list_and_two_of_a_failure_domain_stand_in() {
     for count in [1, 2, 3, 39] {
@@ -112,42 +115,42 @@
     for now in 0..20_000 {
         fleet.step(now, |_| false);
         if now > 100 {
-            assert!(fleet.oldest(now, |_| false) < Millis(1_000), "at {now}");
+            assert!(fleet.max_age(now, |_| false) < Millis(1_000), "at {now}");
         }
     }
     assert!(fleet.reads <= 23, "{} reads in twenty seconds", fleet.reads);
 }
 
-/// Guards against requests for upstreams that have left, because whoever read the list for the
-/// others is lost, frozen or cut off: nobody goes by a list older than the bound on that.
+/// Guards against requests to upstreams that have left, because the entry that reads the list for
+/// the others is lost, frozen or partitioned. No entry may use a list older than the bound.
 #[test]
 fn the_list_stays_young_when_its_reader_is_lost() {
     let mut fleet = Fleet::new();
-    let oldest = fleet.oldest_without(10_000, |entry| entry.duty == ListingDuty::Reads);
-    assert!(oldest <= Millis(1_800), "{oldest:?}");
+    let max_age = fleet.max_age_without(10_000, |entry| entry.duty == ListingDuty::Reads);
+    assert!(max_age <= Millis(1_800), "{max_age:?}");
     assert!(fleet.reads <= 11 + 6 * 11, "{} reads", fleet.reads);
 }
 
-/// Guards against the same in a failure domain that is cut off with the one that reads.
+/// Guards against the same when the reader's failure domain is cut off from all others.
 #[test]
 fn the_list_stays_young_in_every_domain_when_they_are_cut_off_from_each_other() {
     let mut fleet = Fleet::new();
     let reader = fleet.entries.iter().find(|entry| entry.duty == ListingDuty::Reads);
-    let domain = reader.expect("one reads").domain;
-    let oldest = fleet.oldest_without(10_000, |entry| entry.domain == domain);
-    assert!(oldest <= Millis(1_400), "{oldest:?}");
+    let domain = reader.expect("a reader").domain;
+    let max_age = fleet.max_age_without(10_000, |entry| entry.domain == domain);
+    assert!(max_age <= Millis(1_400), "{max_age:?}");
 }
 
-/// Guards against the same while those that stand in are lost, too.
+/// Guards against the same when the stand-ins are lost as well.
 #[test]
 fn the_list_stays_young_when_all_readers_are_lost() {
     let mut fleet = Fleet::new();
-    let oldest = fleet.oldest_without(3_100, |entry| entry.duty != ListingDuty::Hears);
-    assert!(oldest <= Millis(3_100), "{oldest:?}");
+    let max_age = fleet.max_age_without(3_100, |entry| entry.duty != ListingDuty::Hears);
+    assert!(max_age <= Millis(3_100), "{max_age:?}");
 }
 
-/// Guards against hundreds of entries that all read the list when all start at once, and against
-/// one that has no upstreams for seconds because it waits for others.
+/// Guards against hundreds of entries that all read the list when they start together, and against
+/// an entry that has no upstreams for seconds because it waits for others to send the list.
 #[test]
 fn entries_that_start_together_do_not_all_read_the_list() {
     let mut fleet = Fleet::new();
@@ -162,14 +165,14 @@
     assert!(due.iter().all(|due| (500..=1_001).contains(due)), "{due:?}");
 }
 
-/// Guards against an entry that takes a list for younger than it is: told it by one that read it a
-/// second ago, it would go by it for a second longer than it may.
+/// Guards against underestimating the age of a list. An entry that received a list read a second
+/// ago and counted its age from the receipt would use it for a second too long.
 #[test]
 fn a_list_counts_from_when_it_was_read() {
     let mut plan = ListingPlan::new(&entries(1)[0]);
     plan.on_received(Millis(5_000), Millis(900));
     assert_eq!(plan.age(Millis(5_000)), Millis(900));
-    // An older one that arrives later takes nothing back.
+    // An older list that arrives later has no effect.
     plan.on_received(Millis(5_100), Millis(1_500));
     assert_eq!(plan.age(Millis(5_100)), Millis(1_000));
 }
@@ -195,52 +198,56 @@
     known.upstreams().map(|listed| listed.name.to_string()).collect()
 }
 
-/// Guards against whole lists of hundreds of upstreams told to hundreds of entries each second, and
-/// against entries that miss a change.
+/// Guards against sending complete lists of hundreds of upstreams to hundreds of entries each
+/// second, and against entries that miss a change.
 #[test]
 fn only_changes_of_the_list_are_told_and_all_of_them_arrive() {
     let own = &entries(1)[0];
-    let (mut reader, mut hearer) = (KnownListing::default(), KnownListing::default());
+    let (mut reader, mut receiver) = (KnownListing::default(), KnownListing::default());
     let first = reader.on_read(own, 1_000, all(&["a", "b", "c"]));
-    assert!(hearer.on_change(first));
+    assert!(receiver.on_change(first));
     let same = reader.on_read(own, 2_000, all(&["a", "b", "c"]));
     assert!(same.changed.is_empty() && same.removed.is_empty());
-    assert!(hearer.on_change(same));
+    assert!(receiver.on_change(same));
     let mut read = all(&["a", "d"]);
     read[0].is_ready = false;
-    let news = reader.on_read(own, 3_000, read.clone());
-    assert_eq!((news.changed.len(), news.removed.len()), (2, 2));
-    assert!(hearer.on_change(news));
-    assert_eq!(names(&hearer), ["a", "d"]);
-    assert_eq!(hearer.upstreams().cloned().collect::<Vec<_>>(), read);
+    let change = reader.on_read(own, 3_000, read.clone());
+    assert_eq!((change.changed.len(), change.removed.len()), (2, 2));
+    assert!(receiver.on_change(change));
+    assert_eq!(names(&receiver), ["a", "d"]);
+    assert_eq!(receiver.upstreams().cloned().collect::<Vec<_>>(), read);
 }
 
-/// Guards against an entry that applies a change to a list that it doesn't know, since a message
-/// was lost, its reader started again, or another one reads now: it would go on sending requests to
-/// upstreams that have left.
+/// Guards against an entry that applies a change to a list that it doesn't have, because a message
+/// was lost, the reader restarted or another entry now reads the list. It would go on sending
+/// requests to upstreams that have left.
 #[test]
 fn a_change_of_a_list_that_is_not_known_is_not_taken_in() {
     let readers = entries(2);
-    let (mut reader, mut hearer) = (KnownListing::default(), KnownListing::default());
-    assert!(hearer.on_change(reader.on_read(&readers[0], 1_000, all(&["a", "b"]))));
+    let (mut reader, mut receiver) = (KnownListing::default(), KnownListing::default());
+    assert!(receiver.on_change(reader.on_read(&readers[0], 1_000, all(&["a", "b"]))));
     let _lost = reader.on_read(&readers[0], 2_000, all(&["a"]));
     let later = reader.on_read(&readers[0], 3_000, all(&["a"]));
-    assert!(!hearer.on_change(later.clone()));
-    assert_eq!(names(&hearer), ["a", "b"], "a list that is only half known");
-    assert!(hearer.on_change(reader.full_list().expect("a list")));
-    assert_eq!(names(&hearer), ["a"]);
-    // One that starts again, at an earlier wall clock, or that read for others meanwhile.
+    assert!(!receiver.on_change(later.clone()));
+    assert_eq!(
+        names(&receiver),
+        ["a", "b"],
+        "a change was applied to another list than it was made from"
+    );
+    assert!(receiver.on_change(reader.full_list().expect("a list")));
+    assert_eq!(names(&receiver), ["a"]);
+    // A reader that restarts with an earlier wall clock, and then another reader.
     let mut restarted = KnownListing::default();
     restarted.on_read(&readers[0], 2_500, all(&["x"]));
-    assert!(!hearer.on_change(restarted.on_read(&readers[0], 2_600, all(&["x", "y"]))));
+    assert!(!receiver.on_change(restarted.on_read(&readers[0], 2_600, all(&["x", "y"]))));
     let other: ListingUpdate = restarted.on_read(&readers[1], 2_700, all(&["x"]));
-    assert_eq!(other.base, 0, "a new reader tells the whole list");
-    assert!(hearer.on_change(other));
-    assert_eq!(names(&hearer), ["x"]);
+    assert_eq!(other.base, 0, "a new reader sends the complete list");
+    assert!(receiver.on_change(other));
+    assert_eq!(names(&receiver), ["x"]);
 }
 
-/// No reader reaches the list, so every entry tries. Together they must not ask more often than the
-/// list bears, or nobody gets an answer.
+/// Guards against exceeding the platform's rate limit when no reader reaches the list and every
+/// entry tries to read it: if all entries together called too often, none would get an answer.
 #[test]
 fn entries_without_a_reader_read_less_often_in_a_large_fleet() {
     let mut reads = 0;
