--- a/tests/testsuite/configuration_pull.rs
+++ b/tests/testsuite/configuration_pull.rs
@@ -12,7 +12,7 @@
 
 /// Returns the control instances that an instance asks within `span`, if none answers and it has
 /// the configuration as of index `have`.
-fn asked(have: u64, span: u64) -> Vec<Instance> {
+fn asked_instances(have: u64, span: u64) -> Vec<Instance> {
     let controls = ["control-0", "control-1", "control-2"].map(Instance::from).to_vec();
     let mut client = RecordClient::new(&"entry-0".into(), controls, Vec::new());
     let mut out: Vec<(Instance, RecordMessage)> = Vec::new();
@@ -26,13 +26,13 @@
 /// instance that it asked is not running yet.
 #[test]
 fn an_instance_without_a_configuration_asks_all_control_instances_soon() {
-    let first = asked(0, 800);
+    let first = asked_instances(0, 800);
     assert!(first.len() >= 3, "{first:?}");
     let mut all = first[0..3].to_vec();
     all.sort();
     assert_eq!(all, ["control-0", "control-1", "control-2"].map(Instance::from));
     // An instance that has a configuration allows more time for an answer.
-    assert_eq!(asked(7, 800).len(), 1);
+    assert_eq!(asked_instances(7, 800).len(), 1);
 }
 
 /// Guards against the same when the first control instance answers without confirming its state.
--- a/tests/testsuite/fleet_load.rs
+++ b/tests/testsuite/fleet_load.rs
@@ -82,8 +82,8 @@
     handled: Vec<u64>,
     requests: HashMap<RequestNo, Request>,
     busy_until: HashMap<UpstreamName, f64>,
-    begins: BTreeMap<u64, Vec<RequestNo>>,
-    ends: BTreeMap<u64, Vec<RequestNo>>,
+    first_events: BTreeMap<u64, Vec<RequestNo>>,
+    completions: BTreeMap<u64, Vec<RequestNo>>,
     retries: BTreeMap<u64, Vec<Request>>,
     reports: BTreeMap<u64, Vec<LoadReport>>,
     seconds: HashMap<(usize, u64), SecondTotals>,
@@ -103,8 +103,8 @@
             handled: vec![0; ENTRIES],
             requests: HashMap::new(),
             busy_until: HashMap::new(),
-            begins: BTreeMap::new(),
-            ends: BTreeMap::new(),
+            first_events: BTreeMap::new(),
+            completions: BTreeMap::new(),
             retries: BTreeMap::new(),
             reports: BTreeMap::new(),
             seconds: HashMap::new(),
@@ -123,11 +123,11 @@
             self.handled.fill(0);
         }
         self.exchange_reports(now);
-        for no in self.begins.remove(&now).unwrap_or_default() {
+        for no in self.first_events.remove(&now).unwrap_or_default() {
             let request = &self.requests[&no];
             self.fleet[request.entry].on_first_event(Millis(now), no);
         }
-        for no in self.ends.remove(&now).unwrap_or_default() {
+        for no in self.completions.remove(&now).unwrap_or_default() {
             let request = self.requests.remove(&no).expect("a request");
             self.fleet[request.entry].on_end(Millis(now), no, SendEnd::Answered);
         }
@@ -185,8 +185,8 @@
                 let busy = self.busy_until.entry(grant.upstream).or_default();
                 *busy = busy.max(now as f64) + f64::from(own_tokens) / READ_RATE;
                 let first = *busy as u64 / STEP_MS * STEP_MS + FIRST_EVENT_DELAY_MS;
-                self.begins.entry(first).or_default().push(no);
-                self.ends.entry(first + STREAM_DURATION_MS).or_default().push(no);
+                self.first_events.entry(first).or_default().push(no);
+                self.completions.entry(first + STREAM_DURATION_MS).or_default().push(no);
                 let organisation = self.sources[who].organisation;
                 let work = demand(no, Millis(now), organisation, 1, own_tokens).work();
                 self.second(who, now).got += work;
--- a/tests/testsuite/load_exchange.rs
+++ b/tests/testsuite/load_exchange.rs
@@ -25,7 +25,7 @@
     /// The latest reports that each entry received, by sender.
     reports: BTreeMap<Instance, BTreeMap<Instance, LoadReport>>,
     messages: BTreeMap<Instance, usize>,
-    /// The prompt parts that each entry was told upstreams have cached.
+    /// The cached prompt parts that were announced to each entry.
     cached_parts: BTreeMap<Instance, Vec<CachedParts>>,
     failed: Vec<Instance>,
 }
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -59,8 +59,8 @@
     assert_cold_limit_held(&world);
 }
 
-// Guards against a dispatcher that is paused, as with its virtual machine for maintenance, and on
-// resuming grants slots although its lease has passed to a successor.
+// Guards against a dispatcher that is suspended, as when its host is paused for maintenance, and
+// that grants slots after resuming although its lease has passed to a successor.
 #[test]
 fn a_thawed_dispatcher_gives_no_slot_of_its_successor() {
     let world = start(&["north"], 3, &cold_engine()).with_documents();
--- a/tests/testsuite/roster.rs
+++ b/tests/testsuite/roster.rs
@@ -40,7 +40,7 @@
     };
     let id = ReplicaId(settings.instance(), INITIAL_REPLICA);
     let initial = Stored::initial(vec![Member { id: id.clone(), voter: true }]);
-    let machine = ControlMachine::new(Millis(0), id, initial, 7).expect("a founded record");
+    let machine = ControlMachine::new(Millis(0), id, initial, 7).expect("an initial record");
     FleetNode::new(Arc::new(settings), Some(machine))
 }
 
--- a/tests/testsuite/slots.rs
+++ b/tests/testsuite/slots.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn slots_with_running_report(now: u64, warm: bool) -> Slots {
+fn slots_with_report(now: u64, warm: bool) -> Slots {
     let limits = SlotLimits { cold: 2, warm: 8 };
     let mut slots = Slots::new(Millis(0), &listed(0, warm), limits);
     slots.on_listed(Millis(now), Millis(0), Millis(1_000), &listed(0, warm), |_| 0);
@@ -27,7 +27,7 @@
 // service is idle.
 #[test]
 fn requests_that_fail_together_pause_an_upstream_once() {
-    let mut slots = slots_with_running_report(1_000, true);
+    let mut slots = slots_with_report(1_000, true);
     for _ in 0..50 {
         slots.on_failure(Millis(1_000));
     }
@@ -42,7 +42,7 @@
 // refusal shows, while a report from before the refusal still says warm.
 #[test]
 fn a_report_older_than_the_trouble_is_not_believed() {
-    let mut slots = slots_with_running_report(1_000, true);
+    let mut slots = slots_with_report(1_000, true);
     for _ in 0..6 {
         slots.on_completed(Millis(1_100), Millis(1_050), Some(10));
     }
