--- a/crates/kingcup-support/src/caller.rs
+++ b/crates/kingcup-support/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of a fleet.
+//! An HTTP client that calls a fleet's entries as an organisation.
 
 use std::{
     io::{BufRead, BufReader, Read},
@@ -8,25 +8,25 @@
 
 use crate::engine::Prompt;
 
-/// How long a caller waits.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The total timeout of a request, including reading the body.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a caller got.
+/// The response to a request, as far as it was received.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The HTTP status, zero if there was no answer.
+    /// The HTTP status, or zero if no response head was received.
     pub status: u16,
-    /// The numbered result, zero if there was none.
+    /// The `kingcup-code` header, or zero if it is missing.
     pub code: u16,
-    /// The outcome header.
+    /// The `kingcup-outcome` header, or an empty string if it is missing.
     pub outcome: String,
-    /// When to come back, in seconds.
+    /// The `retry-after` header, in seconds.
     pub retry_after: Option<u64>,
-    /// The body, as far as it came.
+    /// The body received before the end, an error or an early disconnect.
     pub body: String,
-    /// Whether the body ended as it should.
+    /// Whether the body was read to its end and contains no `error` event.
     pub is_whole: bool,
-    /// Time to the first event or to the whole answer.
+    /// Time from sending the request to the first line of the body; zero if there was none.
     pub first: Duration,
 }
 
@@ -43,20 +43,20 @@
         }
     }
 
-    /// Tells whether it is the whole answer to `prompt` and of nothing else.
+    /// Returns whether the body is complete and consists of exactly the events of `prompt`.
     pub fn answers(&self, prompt: &Prompt) -> bool {
         let expected = (0..prompt.tokens).map(|n| format!("data: {} {n}\n\n", prompt.id));
         self.is_whole && self.body == expected.collect::<String>()
     }
 
-    /// Tells whether it holds events of another prompt.
+    /// Returns whether the body contains events of another prompt.
     pub fn is_crossed(&self, prompt: &Prompt) -> bool {
         let mut events = self.body.lines().filter_map(|line| line.strip_prefix("data: "));
         events.any(|event| !event.starts_with('{') && event.split(' ').next() != Some(&prompt.id))
     }
 }
 
-/// A caller with a token.
+/// An HTTP client with an organisation's bearer token.
 #[derive(Clone, Debug)]
 pub struct Caller {
     token: String,
@@ -64,39 +64,41 @@
 }
 
 impl Caller {
-    /// Makes a caller.
+    /// Creates a client that opens a new connection for each request.
     pub fn new(token: &str) -> Caller {
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(PATIENCE))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .max_idle_connections(0)
             .http_status_as_error(false)
             .build();
         Caller { token: token.to_owned(), agent: ureq::Agent::new_with_config(config) }
     }
 
-    /// Asks an engine's service and reads the answer to its end.
+    /// Sends a prompt to a service of model engines and reads the whole response.
     ///
     /// # Panics
     ///
-    /// Never: a prompt is plain data.
+    /// Never: serializing a [`Prompt`] can't fail.
     pub fn prompt(&self, entry: SocketAddr, service: &str, prompt: &Prompt) -> Answer {
-        let body = serde_json::to_string(prompt).expect("a prompt is plain data");
+        let body = serde_json::to_string(prompt).expect("a prompt can be serialized");
         self.post(entry, &format!("/{service}/generate"), &body, None)
     }
 
-    /// Sends a request and reads the answer to its end.
+    /// Sends a POST request and reads the whole response.
     pub fn post(&self, entry: SocketAddr, path: &str, body: &str, key: Option<&str>) -> Answer {
         self.post_with(entry, path, body, key, |_| true)
     }
 
-    /// Sends a request and reads the answer line by line while `go_on` holds; then hangs up.
+    /// Sends a POST request and reads the response line by line.
+    ///
+    /// Disconnects once `keep_reading` returns false for a line.
     pub fn post_with(
         &self,
         entry: SocketAddr,
         path: &str,
         body: &str,
         key: Option<&str>,
-        mut go_on: impl FnMut(&str) -> bool,
+        mut keep_reading: impl FnMut(&str) -> bool,
     ) -> Answer {
         let start = Instant::now();
         let mut request = self
@@ -133,14 +135,14 @@
                 answer.first = start.elapsed();
             }
             answer.body.push_str(&line);
-            if !go_on(&line) {
+            if !keep_reading(&line) {
                 break;
             }
         }
         answer
     }
 
-    /// Reads a page, as of an operator address.
+    /// Fetches a page with GET, such as `/metrics` of an operator address.
     pub fn get(&self, address: SocketAddr, path: &str) -> Option<String> {
         let mut response = self.agent.get(format!("http://{address}{path}")).call().ok()?;
         let mut text = String::new();
