--- a/crates/kingcup-support/src/engine.rs
+++ b/crates/kingcup-support/src/engine.rs
@@ -1,8 +1,9 @@
-//! A stand-in for a model engine.
+//! A fake model engine.
 //!
-//! It batches requests in slots, streams one event for each token, knows a request's cost only at
-//! its end, is cold at first and falls over when it gets more than its cold limit, and reports its
-//! load with a lag. It can be told to go silent mid-answer or to turn cold without notice.
+//! It runs requests in a limited number of slots, streams one event per token and reports its load
+//! with a lag. The cost of a request is known only when it ends. An engine starts cold, and crashes
+//! if it gets more requests than its cold limit. Tests can make it stall in the middle of a
+//! response or lose its warm cache without notice.
 
 use std::{
     collections::VecDeque,
@@ -27,48 +28,49 @@
 
 use crate::ANY_PORT;
 
-/// How long an engine that fell over stays down.
-const FALLEN: Duration = Duration::from_millis(2_500);
-/// A warm engine that turns cold bears its load for this long, slowly, before more falls it.
-const TURNING: Duration = Duration::from_millis(1_500);
-/// While it turns cold, the first token takes so many times longer.
-const TURNING_SLOWDOWN: u32 = 8;
-/// The model an engine holds at first.
+/// How long an engine stays down after a crash.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(2_500);
+/// How long an engine that lost its cache still accepts its warm limit, slowly, before running
+/// more than its cold limit crashes it.
+const COOLING_PERIOD: Duration = Duration::from_millis(1_500);
+/// The factor by which prefill is slower during [`COOLING_PERIOD`].
+const COOLING_SLOWDOWN: u32 = 8;
+/// The model that is loaded when an engine starts.
 pub const FIRST_MODEL: &str = "first";
-/// The largest prompt, in bytes.
+/// The largest accepted request body, in bytes.
 const MAX_PROMPT_LEN: usize = 4 << 20;
-/// How often the load is noted for the report.
+/// How often the load is sampled for load reports.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a request asks of an engine.
+/// The body of a request to an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Prompt {
-    /// Named in every event of the answer, so that a crossed answer shows.
+    /// Repeated in every event of the response, so that mixed-up responses can be detected.
     pub id: String,
-    /// On whose behalf, for the engine's record.
+    /// The organisation, to which the engine's record attributes the tokens.
     pub organisation: String,
-    /// How many tokens the answer has.
+    /// The number of tokens of the response.
     pub tokens: u64,
 }
 
-/// How an engine behaves.
+/// The behaviour of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// Requests it bears while cold.
+    /// Requests it can run at once while cold; one more crashes it.
     pub cold_slots: u32,
-    /// Requests it bears once warm.
+    /// Requests it can run at once while warm; more are refused.
     pub warm_slots: u32,
-    /// Requests it must complete to become warm.
+    /// Requests to complete before it is warm.
     pub warm_after: u32,
     /// The time to the first token.
     pub prefill_time: Duration,
     /// The time between tokens.
     pub token_time: Duration,
-    /// How old its load reports are.
+    /// The minimum age of its load reports.
     pub report_lag: Duration,
-    /// How long it takes to load a model or to change its role.
+    /// The time to load a model or to change the role.
     pub load_time: Duration,
-    /// Whether it refuses an order with a number below the highest it has seen.
+    /// Whether it refuses orders whose fencing number is below the highest it has applied.
     pub checks_numbers: bool,
 }
 
@@ -87,39 +89,39 @@
     }
 }
 
-/// Service an engine really gave.
+/// Tokens that an engine sent.
 #[derive(Clone, Debug)]
 pub struct ServedPart {
-    /// To whom.
+    /// The organisation that they were generated for.
     pub organisation: String,
-    /// When.
+    /// When they were sent.
     pub at: Instant,
-    /// How many tokens.
+    /// The number of tokens.
     pub tokens: u64,
 }
 
-/// What an engine really did.
+/// What an engine did, recorded independently of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct EngineRecord {
-    /// Service, token by token.
+    /// Tokens sent, one entry each.
     pub served: Vec<ServedPart>,
-    /// Times it fell over.
+    /// Crashes from running more than `cold_slots` requests.
     pub falls: u32,
-    /// Requests beyond its warm limit.
+    /// Requests refused because `warm_slots` were already running.
     pub oversold: u32,
-    /// Requests begun: which and when.
+    /// Requests started: prompt ID and time.
     pub begun: Vec<(String, Instant)>,
-    /// Requests whose caller went away before the end.
+    /// Requests that ended before the whole response was sent.
     pub cancelled: u32,
-    /// Changes of the number of running requests.
+    /// The number of running requests after each change.
     pub running: Vec<(Instant, u32)>,
-    /// The most requests it ran at once while cold.
+    /// The highest number of requests run at once while cold.
     pub most_while_cold: u32,
-    /// Orders it carried out, by number, and when.
+    /// Orders applied: fencing number and time.
     pub ordered: Vec<(u64, Instant)>,
-    /// Orders it refused as older than another.
+    /// Fencing numbers of the orders refused because a higher number had been applied.
     pub outdated: Vec<u64>,
-    /// Orders it carried out while requests ran.
+    /// Orders applied while requests were running.
     pub ordered_while_busy: u32,
 }
 
@@ -136,19 +138,19 @@
     completed: AtomicU32,
     incarnation: AtomicU64,
     stopped: AtomicBool,
-    /// Events after which answers go silent; none if zero.
-    silent_after: AtomicU64,
-    fallen_until: Mutex<Option<Instant>>,
-    /// Until when it bears what it was given while warm.
-    turning_until: Mutex<Option<Instant>>,
+    /// The number of events after which responses stall; zero disables it.
+    stall_after: AtomicU64,
+    down_until: Mutex<Option<Instant>>,
+    /// The end of [`COOLING_PERIOD`].
+    cooling_until: Mutex<Option<Instant>>,
     setup: Mutex<EngineSetup>,
-    /// Until when it loads.
+    /// When the model or role being loaded is ready.
     loading_until: Mutex<Option<Instant>>,
     samples: Mutex<VecDeque<Sample>>,
     record: Mutex<EngineRecord>,
 }
 
-/// A running engine.
+/// A running fake engine.
 #[derive(Clone)]
 pub struct Engine {
     server: Server,
@@ -160,7 +162,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if it can't listen.
+    /// Panics if no loopback port can be bound.
     pub fn start(config: EngineConfig) -> Engine {
         let state = Arc::new(State {
             config,
@@ -168,9 +170,9 @@
             completed: AtomicU32::new(0),
             incarnation: AtomicU64::new(1),
             stopped: AtomicBool::new(false),
-            silent_after: AtomicU64::new(0),
-            fallen_until: Mutex::default(),
-            turning_until: Mutex::default(),
+            stall_after: AtomicU64::new(0),
+            down_until: Mutex::default(),
+            cooling_until: Mutex::default(),
             setup: Mutex::new(EngineSetup {
                 model: FIRST_MODEL.to_owned(),
                 role: "mixed".to_owned(),
@@ -188,17 +190,17 @@
         };
         let server = http::start("engine", ANY_PORT.into(), serve).expect("a free port");
         let engine = Engine { server, state };
-        let sampling = engine.clone();
-        thread::spawn(move || sampling.sample_all());
+        let sampler = engine.clone();
+        thread::spawn(move || sampler.sample_load());
         engine
     }
 
-    /// Returns where it listens.
+    /// Returns the address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns what it really did so far.
+    /// Returns what it has done so far.
     ///
     /// # Panics
     ///
@@ -207,45 +209,48 @@
         self.state.record.lock().expect("engine record").clone()
     }
 
-    /// Returns how many requests it runs now.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.state.running.load(Ordering::SeqCst)
     }
 
-    /// Returns its process number.
+    /// Returns the incarnation, which identifies the engine's process to the platform.
     pub fn incarnation(&self) -> u64 {
         self.state.incarnation.load(Ordering::SeqCst)
     }
 
-    /// Makes it warm at once.
+    /// Makes it warm immediately.
     pub fn warm_up(&self) {
         self.state.completed.store(self.state.config.warm_after, Ordering::SeqCst);
     }
 
-    /// Turns it cold without notice, as one whose cache was lost: reports stay as they are for
-    /// their lag and the process number for good. For a moment it still bears its load, slowly;
-    /// then it falls over if it is given more than its cold limit.
+    /// Makes it cold without notice, as if its cache were lost.
+    ///
+    /// Load reports show the change only after `report_lag`, and the incarnation stays the same.
+    /// The engine still runs its warm limit, slowly, for 1.5 s; after that it crashes if it is
+    /// given more than its cold limit.
     ///
     /// # Panics
     ///
     /// Panics if one of its threads panicked.
     pub fn turn_cold(&self) {
-        *self.state.turning_until.lock().expect("engine state") = Some(Instant::now() + TURNING);
+        *self.state.cooling_until.lock().expect("engine state") =
+            Some(Instant::now() + COOLING_PERIOD);
         self.state.completed.store(0, Ordering::SeqCst);
     }
 
-    /// Lets answers go silent after this many events, for good; none if zero.
+    /// Makes responses stall after this many events until reset; zero disables it.
     pub fn go_silent_after(&self, events: u64) {
-        self.state.silent_after.store(events, Ordering::SeqCst);
+        self.state.stall_after.store(events, Ordering::SeqCst);
     }
 
-    /// Stops it: it accepts nothing more and breaks off what it runs.
+    /// Stops it: accepts no more connections and aborts the running requests.
     pub fn stop(&self) {
         self.state.stopped.store(true, Ordering::SeqCst);
         self.server.stop();
     }
 
-    /// Returns its setup.
+    /// Returns its model, role and whether it is drained and ready.
     ///
     /// # Panics
     ///
@@ -254,12 +259,12 @@
         self.state.setup()
     }
 
-    /// Tells whether it can bear its full load.
+    /// Returns whether it is warm, that is, can run `warm_slots` requests.
     pub fn is_warm(&self) -> bool {
         self.state.is_warm()
     }
 
-    /// Returns its latest load report, as old as configured.
+    /// Returns the latest load sample that is at least `report_lag` old.
     ///
     /// # Panics
     ///
@@ -272,7 +277,7 @@
         Some(ListedLoad { running: sample.running, warm: sample.warm, age_ms })
     }
 
-    fn sample_all(&self) {
+    fn sample_load(&self) {
         while !self.state.stopped.load(Ordering::SeqCst) {
             let sample =
                 Sample { at: Instant::now(), running: self.running(), warm: self.is_warm() };
@@ -295,28 +300,29 @@
     fn serve(&self, mut request: Request) {
         match request.url() {
             SETUP_PATH => {
-                let setup = serde_json::to_string(&self.setup()).expect("plain data");
+                let setup =
+                    serde_json::to_string(&self.setup()).expect("a setup can be serialized");
                 request.respond(Answer::new(200, "application/json", setup));
                 return;
             }
             ORDER_PATH => {
-                self.take_order(request);
+                self.handle_order(request);
                 return;
             }
             _ => {}
         }
         let text = request.read_text(MAX_PROMPT_LEN).unwrap_or_default();
         let Ok(prompt) = serde_json::from_str::<Prompt>(&text) else {
-            request.respond(Answer::text(400, "no prompt"));
+            request.respond(Answer::text(400, "invalid prompt"));
             return;
         };
-        if !self.begin(&prompt) {
+        if !self.try_start(&prompt) {
             let refusal = Answer::text(503, "over limit");
             request.respond(refusal.with(OUTCOME_HEADER, "not-run"));
             return;
         }
-        let whole = self.stream(request, &prompt);
-        self.end(whole);
+        let complete = self.stream(request, &prompt);
+        self.end(complete);
     }
 
     fn setup(&self) -> EngineSetup {
@@ -330,21 +336,21 @@
         until.is_some_and(|until| Instant::now() < until)
     }
 
-    fn take_order(&self, mut request: Request) {
+    fn handle_order(&self, mut request: Request) {
         let text = request.read_text(MAX_PROMPT_LEN).unwrap_or_default();
         let Ok(order) = serde_json::from_str::<OrderRequest>(&text) else {
-            request.respond(Answer::text(400, "no order"));
+            request.respond(Answer::text(400, "invalid order"));
             return;
         };
-        if self.carry_out(&order) {
+        if self.apply_order(&order) {
             request.respond(Answer::text(202, "accepted"));
         } else {
             request.respond(Answer::text(409, "outdated"));
         }
     }
 
-    /// Changes the setup; returns false if the order is older than another and that is checked.
-    fn carry_out(&self, order: &OrderRequest) -> bool {
+    /// Applies an order; returns false if its fencing number is checked and outdated.
+    fn apply_order(&self, order: &OrderRequest) -> bool {
         let mut record = self.record.lock().expect("engine record");
         let highest = record.ordered.iter().map(|(number, _)| *number).max().unwrap_or(0);
         if self.config.checks_numbers && order.number < highest {
@@ -369,21 +375,21 @@
         true
     }
 
-    /// Takes a slot, refuses, or falls over.
-    fn begin(&self, prompt: &Prompt) -> bool {
+    /// Takes a slot and returns true, or refuses the request; crashes if over the cold limit.
+    fn try_start(&self, prompt: &Prompt) -> bool {
         let state = self;
         let mut record = state.record.lock().expect("engine record");
-        let mut fallen = state.fallen_until.lock().expect("engine state");
-        if fallen.is_some_and(|until| Instant::now() < until) {
+        let mut down = state.down_until.lock().expect("engine state");
+        if down.is_some_and(|until| Instant::now() < until) {
             return false;
         }
         if self.is_loading() || self.setup.lock().expect("engine setup").drained {
             return false;
         }
         let running = state.running.load(Ordering::SeqCst);
-        if !self.is_warm() && !self.is_turning() && running >= state.config.cold_slots {
+        if !self.is_warm() && !self.is_cooling() && running >= state.config.cold_slots {
             record.falls += 1;
-            *fallen = Some(Instant::now() + FALLEN);
+            *down = Some(Instant::now() + CRASH_DOWNTIME);
             return false;
         }
         if running >= state.config.warm_slots {
@@ -393,50 +399,50 @@
         state.running.store(running + 1, Ordering::SeqCst);
         record.begun.push((prompt.id.clone(), Instant::now()));
         record.running.push((Instant::now(), running + 1));
-        if !self.is_warm() && !self.is_turning() {
+        if !self.is_warm() && !self.is_cooling() {
             record.most_while_cold = record.most_while_cold.max(running + 1);
         }
         true
     }
 
-    fn end(&self, whole: bool) {
+    fn end(&self, complete: bool) {
         let mut record = self.record.lock().expect("engine record");
         let running = self.running.fetch_sub(1, Ordering::SeqCst) - 1;
         record.running.push((Instant::now(), running));
-        if whole {
+        if complete {
             self.completed.fetch_add(1, Ordering::SeqCst);
         } else {
             record.cancelled += 1;
         }
     }
 
-    fn is_turning(&self) -> bool {
-        let turning = self.turning_until.lock().expect("engine state");
-        turning.is_some_and(|until| Instant::now() < until)
+    fn is_cooling(&self) -> bool {
+        let cooling = self.cooling_until.lock().expect("engine state");
+        cooling.is_some_and(|until| Instant::now() < until)
     }
 
     fn is_down(&self) -> bool {
-        let fallen = self.fallen_until.lock().expect("engine state");
-        let has_fallen = fallen.is_some_and(|until| Instant::now() < until);
-        has_fallen || self.stopped.load(Ordering::SeqCst)
+        let down = self.down_until.lock().expect("engine state");
+        let has_crashed = down.is_some_and(|until| Instant::now() < until);
+        has_crashed || self.stopped.load(Ordering::SeqCst)
     }
 
-    /// Streams an answer; returns whether it went out whole.
+    /// Streams a response; returns whether all of it was sent.
     fn stream(&self, request: Request, prompt: &Prompt) -> bool {
         let offset = request.header(RESUME_HEADER).and_then(|value| value.parse().ok());
         let offset = offset.unwrap_or(0);
         let head = Answer::new(200, "text/event-stream", "");
         let mut stream = request.stream(head.with(RESUMED_HEADER, offset.to_string()));
-        let slowdown = if self.is_turning() { TURNING_SLOWDOWN } else { 1 };
+        let slowdown = if self.is_cooling() { COOLING_SLOWDOWN } else { 1 };
         thread::sleep(self.config.prefill_time * slowdown);
         for n in offset..prompt.tokens {
             thread::sleep(self.config.token_time);
             if self.is_down() {
                 return false;
             }
-            let silent_after = self.silent_after.load(Ordering::SeqCst);
-            if silent_after > 0 && n >= silent_after {
-                return self.stay_silent(stream);
+            let stall_after = self.stall_after.load(Ordering::SeqCst);
+            if stall_after > 0 && n >= stall_after {
+                return self.stall(stream);
             }
             let event = format!("data: {} {n}\n\n", prompt.id);
             if stream.write(event.as_bytes()).is_err() {
@@ -452,12 +458,12 @@
         stream.end().is_ok()
     }
 
-    /// Holds the connection open and says nothing until its other end is gone or the mode ends.
-    fn stay_silent(&self, stream: AnswerStream) -> bool {
-        while self.silent_after.load(Ordering::SeqCst) > 0 && !self.is_down() {
+    /// Holds the connection open without writing, until stalling is disabled or the engine is down.
+    fn stall(&self, stream: AnswerStream) -> bool {
+        while self.stall_after.load(Ordering::SeqCst) > 0 && !self.is_down() {
             thread::sleep(Duration::from_millis(20));
         }
-        // Dropped without its end, the answer counts as broken.
+        // A stream that is dropped without `end` is a truncated response.
         drop(stream);
         false
     }
