--- a/crates/kingcup-support/src/fleet/mod.rs
+++ b/crates/kingcup-support/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on this machine, every connection between them through a proxy.
+//! A fleet of real processes on this host, with a proxy on every connection between instances.
 
 mod operator;
 mod usage;
@@ -23,47 +23,47 @@
 pub use self::usage::Usage;
 use crate::{caller::Caller, free_address, platform::Platform, proxy::Proxy, wait_until};
 
-/// The key of fleets made here.
+/// The fleet key of all fleets started here.
 pub const FLEET_KEY: &str = "a key for fleets on one machine";
-/// How long a fleet may take to come up.
-const START_PATIENCE: Duration = Duration::from_secs(30);
+/// The timeout for a fleet to start or for a change to reach all of its instances.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How to start an instance: the program and what stands before `--settings FILE`.
+/// The command line of an instance: the executable and the arguments before `--settings FILE`.
 #[derive(Clone, Debug)]
 pub struct Program {
     /// The executable.
     pub path: PathBuf,
-    /// Arguments to run an instance.
+    /// The arguments that run an instance.
     pub run: Vec<String>,
-    /// Arguments to make a control instance's data folder.
+    /// The arguments that initialise a control instance's data folder.
     pub init: Vec<String>,
 }
 
 impl Program {
-    /// Returns how to start the daemon at `path`.
+    /// Creates a program that runs the daemon at `path`.
     pub fn daemon(path: impl Into<PathBuf>) -> Program {
         Program { path: path.into(), run: Vec::new(), init: vec!["init".to_owned()] }
     }
 }
 
-/// An instance to be started.
+/// The name, failure domain and roles of an instance to start.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name.
+    /// The instance's name.
     pub instance: String,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub domain: String,
-    /// What it does.
+    /// The instance's roles.
     pub roles: Vec<Role>,
 }
 
 impl Plan {
-    /// Plans an entry.
+    /// Creates an entry.
     pub fn entry(instance: &str, domain: &str) -> Plan {
         Plan { instance: instance.to_owned(), domain: domain.to_owned(), roles: vec![Role::Entry] }
     }
 
-    /// Plans a control instance.
+    /// Creates a control instance.
     pub fn control(instance: &str, domain: &str) -> Plan {
         Plan {
             instance: instance.to_owned(),
@@ -82,23 +82,26 @@
     child: Option<Child>,
 }
 
-/// A running fleet; dropping it ends its processes and removes its folder.
+/// A running fleet.
+///
+/// Dropping it kills its processes and removes its folder. The folder is kept if the thread panics
+/// or the environment variable `KINGCUP_KEEP` is set.
 pub struct Fleet {
     program: Program,
     folder: PathBuf,
     members: BTreeMap<String, Member>,
-    /// The proxy of each way, by who writes and who reads.
+    /// The proxy of each link, by the instance that connects and the instance that accepts.
     links: BTreeMap<(String, String), Proxy>,
 }
 
 static NEXT_FLEET: AtomicU32 = AtomicU32::new(0);
 
 impl Fleet {
-    /// Writes the settings of a fleet and makes its control instances' data folders.
+    /// Writes the settings of a fleet and initialises its control instances' data folders.
     ///
     /// # Errors
     ///
-    /// Returns an error if a file can't be written or the program fails.
+    /// Returns an error if a file can't be written or initialising a data folder fails.
     pub fn prepare(
         program: Program,
         plans: &[Plan],
@@ -122,11 +125,11 @@
         Ok(fleet)
     }
 
-    /// Prepares a fleet and starts all of it.
+    /// Prepares a fleet, starts all instances and waits until they respond.
     ///
     /// # Errors
     ///
-    /// Returns an error if an instance does not come up.
+    /// Returns an error if an instance can't be started or does not respond in time.
     pub fn start(
         program: Program,
         plans: &[Plan],
@@ -137,14 +140,19 @@
         for plan in plans {
             fleet.run(&plan.instance)?;
         }
-        let up = wait_until(START_PATIENCE, || {
+        let up = wait_until(START_TIMEOUT, || {
             fleet.members.keys().all(|instance| fleet.status(instance).is_ok())
         });
-        ensure!(up, "an instance did not come up; its log is in {}", fleet.folder.display());
+        ensure!(
+            up,
+            "an instance did not respond in time; the logs are in {}",
+            fleet.folder.display()
+        );
         Ok(fleet)
     }
 
-    /// Lists all instances with addresses as `plan` sees them: its own, and proxies before others.
+    /// Lists all instances with the addresses for `plan`: its own one, and those of proxies to the
+    /// others.
     fn peers_of(
         &mut self,
         plan: &Plan,
@@ -153,11 +161,11 @@
     ) -> Vec<Peer> {
         let mut peers = Vec::new();
         for other in plans {
-            let real = addresses[&other.instance];
+            let direct = addresses[&other.instance];
             let address = if other.instance == plan.instance {
-                real
+                direct
             } else {
-                let proxy = Proxy::start(real);
+                let proxy = Proxy::start(direct);
                 let address = proxy.address();
                 self.links.insert((plan.instance.clone(), other.instance.clone()), proxy);
                 address
@@ -215,7 +223,7 @@
         Ok(())
     }
 
-    /// Starts an instance that does not run.
+    /// Starts an instance that is not running.
     ///
     /// # Errors
     ///
@@ -225,7 +233,7 @@
         self.run_as(instance, &program)
     }
 
-    /// Starts an instance that does not run by another program.
+    /// Starts an instance that is not running, with another program.
     ///
     /// # Errors
     ///
@@ -246,7 +254,7 @@
         Ok(())
     }
 
-    /// Lets the proxies before an instance refuse connections, as its machine would without it.
+    /// Makes the proxies to an instance refuse connections, as its host would without the process.
     fn set_down(&self, instance: &str, down: bool) {
         for ((_, to), proxy) in &self.links {
             if to == instance {
@@ -255,31 +263,31 @@
         }
     }
 
-    /// Returns where an instance's log goes.
+    /// Returns the path of an instance's log.
     pub fn log_path(&self, instance: &str) -> PathBuf {
         self.folder.join(format!("{instance}.log"))
     }
 
-    /// Returns what an instance logged so far.
+    /// Returns an instance's log so far.
     pub fn log(&self, instance: &str) -> String {
         fs::read_to_string(self.log_path(instance)).unwrap_or_default()
     }
 
-    /// Returns a control instance's data folder.
+    /// Returns the path of a control instance's data folder.
     pub fn data_folder(&self, instance: &str) -> PathBuf {
         self.folder.join(format!("{instance}.data"))
     }
 
-    /// Returns an instance's settings file.
+    /// Returns the path of an instance's settings file.
     pub fn settings_path(&self, instance: &str) -> &Path {
         &self.members[instance].settings
     }
 
-    /// Ends an instance without warning.
+    /// Kills an instance with SIGKILL and makes the proxies to it refuse connections.
     ///
     /// # Panics
     ///
-    /// Panics if the instance is not known.
+    /// Panics if the fleet has no such instance.
     pub fn kill(&mut self, instance: &str) {
         let member = self.members.get_mut(instance).expect("a known instance");
         if let Some(mut child) = member.child.take() {
@@ -289,11 +297,11 @@
         self.set_down(instance, true);
     }
 
-    /// Sends an instance a signal by name, as TERM, STOP or CONT.
+    /// Sends an instance a signal by its name, such as TERM, STOP or CONT.
     ///
     /// # Panics
     ///
-    /// Panics if the instance does not run.
+    /// Panics if the instance is not running or the signal can't be sent.
     pub fn signal(&self, instance: &str, signal: &str) {
         let child = self.members[instance].child.as_ref().expect("a running instance");
         let pid = child.id().to_string();
@@ -301,32 +309,34 @@
         assert!(status.is_ok_and(|status| status.success()), "kill -{signal} {instance}");
     }
 
-    /// Waits until an instance has ended by itself; returns whether it ended well.
+    /// Waits until an instance exits; returns whether it exited with status 0 within `timeout`.
     ///
     /// # Panics
     ///
-    /// Panics if the instance is not known.
-    pub fn wait_for_end(&mut self, instance: &str, patience: Duration) -> bool {
+    /// Panics if the fleet has no such instance.
+    pub fn wait_for_end(&mut self, instance: &str, timeout: Duration) -> bool {
         let member = self.members.get_mut(instance).expect("a known instance");
         let Some(child) = member.child.as_mut() else { return false };
-        let mut ended_well = None;
-        wait_until(patience, || {
-            ended_well = child.try_wait().ok().flatten().map(|status| status.success());
-            ended_well.is_some()
+        let mut exit_ok = None;
+        wait_until(timeout, || {
+            exit_ok = child.try_wait().ok().flatten().map(|status| status.success());
+            exit_ok.is_some()
         });
-        ended_well.unwrap_or(false)
+        exit_ok.unwrap_or(false)
     }
 
-    /// Returns the proxy of one way between two instances.
+    /// Returns the proxy on the connections that `from` opens to `to`.
     ///
     /// # Panics
     ///
-    /// Panics if one of the instances is not known.
+    /// Panics if one of them is not in the fleet, or if they are the same.
     pub fn link(&self, from: &str, to: &str) -> &Proxy {
         &self.links[&(from.to_owned(), to.to_owned())]
     }
 
-    /// Cuts an instance off from all others, both ways and silently, or joins it again.
+    /// Partitions an instance from all others in both directions, or reconnects it.
+    ///
+    /// Connections stay open, so that the partition shows only as silence.
     pub fn isolate(&self, instance: &str, cut: bool) {
         for ((from, to), proxy) in &self.links {
             if from == instance || to == instance {
@@ -335,17 +345,17 @@
         }
     }
 
-    /// Cuts a failure domain off from all others, or joins it again.
+    /// Partitions a failure domain from all others, or reconnects it.
     pub fn cut_domain(&self, domain: &str, cut: bool) {
-        let inside = |instance: &str| self.members[instance].plan.domain == domain;
+        let in_domain = |instance: &str| self.members[instance].plan.domain == domain;
         for ((from, to), proxy) in &self.links {
-            if inside(from) != inside(to) {
+            if in_domain(from) != in_domain(to) {
                 proxy.cut(cut);
             }
         }
     }
 
-    /// Returns where an entry takes callers' requests.
+    /// Returns the address at which an entry accepts callers' requests.
     pub fn entry(&self, instance: &str) -> SocketAddr {
         self.members[instance].caller_address
     }
@@ -365,23 +375,23 @@
         members.map(|m| (m.plan.instance.clone(), m.plan.domain.clone())).collect()
     }
 
-    /// Returns what an instance's process has used so far, if it runs.
+    /// Returns the resource usage of an instance's process, if it is running.
     pub fn usage(&self, instance: &str) -> Option<Usage> {
         let pid = self.members[instance].child.as_ref()?.id();
         Usage::read(pid)
     }
 
-    /// Returns where an instance serves operators.
+    /// Returns the address at which an instance serves operators.
     pub fn operator_address(&self, instance: &str) -> SocketAddr {
         self.members[instance].operator_address
     }
 
-    /// Returns what an instance shows at `/metrics`; nothing if it can't be reached.
+    /// Returns an instance's `/metrics` page, or an empty string if it can't be reached.
     pub fn metrics(&self, instance: &str) -> String {
         Caller::new("").get(self.operator_address(instance), "/metrics").unwrap_or_default()
     }
 
-    /// Returns one of its metrics, zero if it is not shown.
+    /// Returns the value of an instance's metric, or zero if it is missing.
     pub fn metric(&self, instance: &str, name: &str) -> f64 {
         let metrics = self.metrics(instance);
         let mut values =
@@ -402,12 +412,14 @@
     }
 }
 
-/// Returns the token of an organisation in documents made by [`document`].
+/// Returns the bearer token of an organisation in documents made by [`document`].
 pub fn token(organisation: &str) -> String {
     format!("token-of-{organisation}")
 }
 
-/// Writes a document with the given organisations and shares; `rest` is appended as it is.
+/// Builds a service's document with the given organisations and shares.
+///
+/// `rest` is appended to the YAML unchanged.
 pub fn document(service: &str, kind: &str, organisations: &[(&str, u32)], rest: &str) -> String {
     let members = organisations.iter().map(|(name, share)| {
         let digest = sha256_hex(token(name).as_bytes());
