--- a/crates/kingcup-support/src/fleet/operator.rs
+++ b/crates/kingcup-support/src/fleet/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator of the fleet does and sees.
+//! Operator actions and queries of a fleet.
 
 use std::{collections::BTreeMap, fs, net::SocketAddr, path::PathBuf};
 
@@ -13,18 +13,19 @@
     },
 };
 
-use super::{Fleet, START_PATIENCE};
+use super::{Fleet, START_TIMEOUT};
 use crate::wait_until;
 
 impl Fleet {
-    /// Returns a client of the running instances.
+    /// Creates an operator client for the running instances.
     pub fn client(&self) -> OperatorClient {
         let running = self.members.iter().filter(|(_, member)| member.child.is_some());
         let addresses = running.map(|(i, m)| (Instance::from(i.as_str()), m.operator_address));
         OperatorClient::new(addresses.collect())
     }
 
-    /// Writes a fleet file for the operator's tool and returns its path.
+    /// Writes the fleet file of the operator's tool, with all operator addresses, and returns its
+    /// path.
     ///
     /// # Errors
     ///
@@ -37,11 +38,11 @@
         Ok(path)
     }
 
-    /// Asks an instance for its status.
+    /// Queries an instance's status.
     ///
     /// # Errors
     ///
-    /// Returns an error if it can't be reached.
+    /// Returns an error if the instance can't be reached.
     pub fn status(&self, instance: &str) -> anyhow::Result<Status> {
         self.client().status(&instance.into())
     }
@@ -50,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if it is refused or not in force everywhere in time.
+    /// Returns an error if the document is refused or not in force everywhere within 30 s.
     pub fn apply(&self, service: &str, base: u64, text: &str) -> anyhow::Result<u64> {
         let command = Change::ApplyDocument {
             change: fresh_change_id()?,
@@ -58,46 +59,47 @@
             base,
             text: text.to_owned(),
         };
-        self.change_everywhere(command)
+        self.change_and_wait(command)
     }
 
-    /// Takes a failure domain out or in and waits until all running instances know.
+    /// Takes a failure domain out of service or back in, and waits until all running instances have
+    /// the change in force.
     ///
     /// # Errors
     ///
-    /// Returns an error if it is refused or not known everywhere in time.
+    /// Returns an error if the change is refused or not in force everywhere within 30 s.
     pub fn set_domain(&self, domain: &str, out: bool) -> anyhow::Result<u64> {
         let change = fresh_change_id()?;
-        self.change_everywhere(Change::SetDomain { change, domain: domain.into(), out })
+        self.change_and_wait(Change::SetDomain { change, domain: domain.into(), out })
     }
 
-    /// Changes the setup wanted of an upstream, waits until all running instances know, and returns
-    /// the fencing number.
+    /// Orders an upstream to change its setup, waits until all running instances have the order
+    /// and returns its fencing number.
     ///
     /// # Errors
     ///
-    /// Returns an error if it is refused or not known everywhere in time.
+    /// Returns an error if the change is refused or not in force everywhere within 30 s.
     pub fn order(&self, upstream: &str, setup: SetupChange) -> anyhow::Result<u64> {
         let change = fresh_change_id()?;
-        self.change_everywhere(Change::Order { change, upstream: upstream.into(), setup })
+        self.change_and_wait(Change::Order { change, upstream: upstream.into(), setup })
     }
 
-    /// Returns the fencing number of the order to an upstream that is being or was carried out,
-    /// and how far, from the instances named.
+    /// Returns the fencing number and the stage of the current or last order to an upstream, as the
+    /// first of `instances` that knows it reports them.
     pub fn order_stage(&self, instances: &[String], upstream: &str) -> Option<(u64, String)> {
         let statuses = instances.iter().filter_map(|instance| self.status(instance).ok());
         let mut orders = statuses.flat_map(|s| s.pools).flat_map(|pool| pool.orders);
         orders.find(|(name, _)| name.as_str() == upstream).map(|(_, stage)| stage)
     }
 
-    fn change_everywhere(&self, command: Change) -> anyhow::Result<u64> {
+    fn change_and_wait(&self, command: Change) -> anyhow::Result<u64> {
         let Reply::Accepted { index, .. } = self.client().change(command)? else {
-            anyhow::bail!("an answer that does not fit")
+            anyhow::bail!("unexpected reply to a change")
         };
-        let known = wait_until(START_PATIENCE, || {
+        let in_force = wait_until(START_TIMEOUT, || {
             self.running().iter().all(|i| self.status(i).is_ok_and(|status| status.index >= index))
         });
-        ensure!(known, "the change is not in force everywhere");
+        ensure!(in_force, "the change is not in force everywhere within {START_TIMEOUT:?}");
         Ok(index)
     }
 
@@ -110,10 +112,10 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if that does not come about in time.
+    /// Returns an error if a failure domain still has none after 30 s.
     pub fn wait_for_dispatchers(&self, service: &str) -> anyhow::Result<()> {
         let entries = self.entries();
-        let dispatched = wait_until(START_PATIENCE, || {
+        let has_dispatchers = wait_until(START_TIMEOUT, || {
             let statuses: Vec<Status> =
                 entries.iter().filter_map(|(i, _)| self.status(i).ok()).collect();
             entries.iter().all(|(_, domain)| {
@@ -122,7 +124,10 @@
                 of_domain.any(|s| s.pools.iter().any(|pool| pool.service.as_str() == service))
             })
         });
-        ensure!(dispatched, "a failure domain has no dispatcher of {service}");
+        ensure!(
+            has_dispatchers,
+            "a failure domain has no dispatcher for {service} within {START_TIMEOUT:?}"
+        );
         Ok(())
     }
 
