--- a/crates/kingcup-support/src/fleet/usage.rs
+++ b/crates/kingcup-support/src/fleet/usage.rs
@@ -1,18 +1,18 @@
-//! What a process takes of the machine.
+//! The resource usage of a process, read from `/proc`.
 
 use std::fs;
 
-/// What a process has used.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
-    /// Processor seconds of its control state and messages: the control thread, the connections to
-    /// other instances, the platform's list and operators.
+    /// CPU seconds of the control-plane threads: the main thread, connections to other instances,
+    /// the platform client and the operator server.
     pub control_seconds: f64,
     /// Resident memory, in bytes.
     pub memory: u64,
 }
 
-/// Processor time is counted in hundredths of a second.
+/// The unit of CPU times in `/proc`, `USER_HZ`, which is 100 on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 impl Usage {
@@ -26,7 +26,8 @@
                 continue;
             }
             let stat = fs::read_to_string(task.path().join("stat")).unwrap_or_default();
-            // The name in parentheses may hold spaces; user and system time follow as 12th and 13th.
+            // The thread name may contain spaces, so fields are counted from its closing
+            // parenthesis: user and system time are the 12th and 13th from there.
             let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
             let times = fields.get(11..13)?.iter().filter_map(|t| t.parse::<f64>().ok());
             control_seconds += times.sum::<f64>() / TICKS_PER_SECOND;
