--- a/crates/kingcup-support/src/lib.rs
+++ b/crates/kingcup-support/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for what a fleet meets, and a launcher of fleets of real processes.
+//! Fakes of the external systems that a fleet talks to, and a launcher of local fleets of real
+//! processes.
 //!
-//! Every stand-in keeps its own record of what it really did, so that a test compares the fleet's
-//! word with the truth and not with itself.
+//! Every fake upstream records what it did, so that tests check what the fleet reports against an
+//! independent source.
 
 pub mod caller;
 pub mod engine;
@@ -21,17 +22,21 @@
     time::{Duration, Instant},
 };
 
-/// Lets the system choose a loopback port, for stand-ins.
+/// A loopback address with a port chosen by the system, for the fakes.
 pub(crate) const ANY_PORT: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
 
-/// The ports instances listen on: below those the system gives to connections and to listeners
-/// that name none, which would otherwise take one between the choice and the instance's start.
+/// The ports that instances listen on.
+///
+/// They are below the ephemeral range. The system could otherwise give a port to another connection
+/// or listener between its choice and the instance's start.
 const PORTS: std::ops::Range<u16> = 12_000..32_000;
 
-/// The next port to try; processes begin at different ones.
+/// The next port to try. Test processes start at different ones, so that they rarely collide.
 static NEXT_PORT: LazyLock<AtomicU32> = LazyLock::new(|| AtomicU32::new(std::process::id() * 97));
 
-/// Returns a loopback address that nothing listened on a moment ago.
+/// Returns a loopback address that was free when it was checked.
+///
+/// Another process can take it before the caller binds it.
 ///
 /// # Panics
 ///
@@ -40,7 +45,8 @@
     listen().local_addr().expect("a bound listener has an address")
 }
 
-/// Listens on a free loopback address that can be listened on again after it was closed.
+/// Listens on a free loopback port outside the ephemeral range, so that the port can be bound again
+/// after the listener is closed.
 ///
 /// # Panics
 ///
@@ -53,16 +59,16 @@
             return listener;
         }
     }
-    panic!("no free port");
+    panic!("no free port in {PORTS:?}");
 }
 
-/// Waits until `done` holds; returns false if it does not within `patience`.
+/// Polls `done` every 20 ms until it returns true; returns false after `timeout`.
 ///
-/// A test names a patience far beyond what it expects, so that a busy machine changes how long it
-/// takes and never its verdict.
-pub fn wait_until(patience: Duration, mut done: impl FnMut() -> bool) -> bool {
+/// Tests pass a timeout far longer than expected, so that a busy host makes them slower but never
+/// makes them fail.
+pub fn wait_until(timeout: Duration, mut done: impl FnMut() -> bool) -> bool {
     let start = Instant::now();
-    while start.elapsed() < patience {
+    while start.elapsed() < timeout {
         if done() {
             return true;
         }
