--- a/crates/kingcup-support/src/plain.rs
+++ b/crates/kingcup-support/src/plain.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service that counts how often each request key really ran.
+//! A fake plain service that counts how often the request of each idempotency key ran.
 
 use std::{
     collections::BTreeMap,
@@ -15,10 +15,10 @@
 
 use crate::ANY_PORT;
 
-/// The largest body, in bytes.
+/// The largest accepted request body, in bytes.
 const MAX_BODY_LEN: usize = 4 << 20;
 
-/// A running plain service.
+/// A running fake plain service.
 #[derive(Clone)]
 pub struct Plain {
     server: Server,
@@ -32,11 +32,11 @@
 }
 
 impl Plain {
-    /// Starts a service that takes `delay` for each request, after it has run it.
+    /// Starts a service that runs a request immediately and responds after `delay`.
     ///
     /// # Panics
     ///
-    /// Panics if it can't listen.
+    /// Panics if no loopback port can be bound.
     pub fn start(delay: Duration) -> Plain {
         let state = Arc::new(State::default());
         let serving = state.clone();
@@ -50,17 +50,17 @@
         plain
     }
 
-    /// Returns where it listens.
+    /// Returns the address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets how long answers take from now on.
+    /// Sets the response delay of later requests.
     pub fn set_delay(&self, delay: Duration) {
         self.state.delay_ms.store(delay.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// Returns how often the request under each key ran.
+    /// Returns how often the request of each idempotency key ran.
     ///
     /// # Panics
     ///
@@ -69,12 +69,12 @@
         self.state.runs.lock().expect("plain record").clone()
     }
 
-    /// Returns how often the request under `key` ran.
+    /// Returns how often the request with idempotency key `key` ran.
     pub fn runs_of(&self, key: &str) -> u32 {
         self.runs().get(key).copied().unwrap_or(0)
     }
 
-    /// Stops it: it accepts nothing more and breaks off its answers.
+    /// Stops it: accepts no more connections and aborts the running responses.
     pub fn stop(&self) {
         self.server.stop();
     }
@@ -91,7 +91,7 @@
             *run
         };
         thread::sleep(Duration::from_millis(self.delay_ms.load(Ordering::SeqCst)));
-        // A caller that is gone gets no answer; the run counts all the same.
+        // The run counts even if the client has disconnected.
         request.respond(Answer::text(200, format!("{key} run {run}: {body}")));
     }
 }
