--- a/crates/kingcup-support/src/platform.rs
+++ b/crates/kingcup-support/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's lagging list of upstreams.
+//! A fake platform, which lists upstreams and reports their leaving late.
 
 use std::{
     net::SocketAddr,
@@ -13,7 +13,7 @@
 
 use crate::{ANY_PORT, engine::Engine, plain::Plain};
 
-/// What runs behind a listed upstream.
+/// The fake behind a listed upstream.
 #[derive(Clone)]
 pub enum Backend {
     /// A model engine.
@@ -39,33 +39,33 @@
 }
 
 #[derive(Clone)]
-struct Item {
+struct ListItem {
     name: String,
     service: String,
     domain: String,
     address: SocketAddr,
     backend: Backend,
-    /// Since when it is leaving.
+    /// When it began to leave.
     leaving: Option<Instant>,
 }
 
-/// A running platform.
+/// A running fake platform.
 #[derive(Clone)]
 pub struct Platform {
     address: SocketAddr,
-    items: Arc<Mutex<Vec<Item>>>,
+    items: Arc<Mutex<Vec<ListItem>>>,
 }
 
 impl Platform {
-    /// Starts a platform whose list tells of an upstream's leaving after `lag`.
+    /// Starts a platform whose list shows that an upstream is leaving only after `lag`.
     ///
     /// # Panics
     ///
-    /// Panics if it can't listen.
+    /// Panics if no loopback port can be bound.
     pub fn start(lag: Duration) -> Platform {
-        let items: Arc<Mutex<Vec<Item>>> = Arc::default();
+        let items: Arc<Mutex<Vec<ListItem>>> = Arc::default();
         let listed = items.clone();
-        // Short and without waiting, so that it needs no thread.
+        // This is short and does not block, so it runs on the server's thread.
         let serve = move |request: Request| {
             let list = list(&listed, lag, request.url());
             request.respond(Answer::new(200, "application/json", list));
@@ -74,12 +74,12 @@
         Platform { address: server.address(), items }
     }
 
-    /// Returns the list's URL.
+    /// Returns the URL of the upstream list.
     pub fn url(&self) -> String {
         format!("http://{}/upstreams", self.address)
     }
 
-    /// Lists an upstream at `address`, which may be a proxy's before its backend.
+    /// Lists an upstream at `address`, which can be the address of a proxy to `backend`.
     ///
     /// # Panics
     ///
@@ -92,7 +92,7 @@
         address: SocketAddr,
         backend: Backend,
     ) {
-        let item = Item {
+        let item = ListItem {
             name: name.to_owned(),
             service: service.to_owned(),
             domain: domain.to_owned(),
@@ -103,7 +103,7 @@
         self.items.lock().expect("platform list").push(item);
     }
 
-    /// Lets an upstream begin to leave.
+    /// Marks an upstream as leaving.
     ///
     /// # Panics
     ///
@@ -116,14 +116,14 @@
     }
 }
 
-/// Returns the list a URL asks for, as JSON.
-fn list(items: &Mutex<Vec<Item>>, lag: Duration, url: &str) -> String {
-    let wanted = |name: &str| {
+/// Returns the upstreams that match the `service` and `failure_domain` of a URL's query, as JSON.
+fn list(items: &Mutex<Vec<ListItem>>, lag: Duration, url: &str) -> String {
+    let query_value = |name: &str| {
         let query = url.split('?').nth(1).unwrap_or("");
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value.to_owned())
     };
-    let (service, domain) = (wanted("service"), wanted("failure_domain"));
+    let (service, domain) = (query_value("service"), query_value("failure_domain"));
     let items = items.lock().expect("platform list").clone();
     let listed = items.iter().filter(|item| {
         service.as_ref().is_none_or(|s| *s == item.service)
@@ -138,5 +138,5 @@
             load: item.backend.load(),
         })
         .collect();
-    serde_json::to_string(&listed).expect("a list is plain data")
+    serde_json::to_string(&listed).expect("a list can be serialized")
 }
