--- a/crates/kingcup-support/src/proxy.rs
+++ b/crates/kingcup-support/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy for TCP connections that injects faults.
+//! A TCP proxy that injects network faults.
 
 use std::{
     io::{ErrorKind, Read, Write},
@@ -13,20 +13,20 @@
 
 use crate::listen;
 
-/// How often a waiting connection looks whether its fault has ended.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// How often the state of faults is checked while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Default)]
 struct Faults {
-    /// Nothing passes towards the target; connections stay open.
+    /// Holds back data to the target; connections stay open.
     cut_forth: AtomicBool,
-    /// Nothing passes from the target; connections stay open.
-    cut_back: AtomicBool,
-    /// Added to each piece that passes.
+    /// Holds back data from the target; connections stay open.
+    cut_from_target: AtomicBool,
+    /// The delay added to each chunk of data.
     delay_ms: AtomicU64,
-    /// Each connection's own fault: it stands still for good.
+    /// A flag for each connection that stalls it permanently.
     frozen: Mutex<Vec<Arc<AtomicBool>>>,
-    /// Nothing listens, as when the target's process is gone.
+    /// Closes the listener, as if the target's process were gone.
     down: AtomicBool,
     streams: Mutex<Vec<TcpStream>>,
 }
@@ -39,11 +39,11 @@
 }
 
 impl Proxy {
-    /// Starts a proxy before `target`.
+    /// Starts a proxy that forwards to `target`.
     ///
     /// # Panics
     ///
-    /// Panics if it can't listen.
+    /// Panics if no loopback port is free.
     pub fn start(target: SocketAddr) -> Proxy {
         let listener = listen();
         let address = listener.local_addr().expect("a bound listener has an address");
@@ -53,13 +53,15 @@
         proxy
     }
 
-    /// Accepts while the target is up; refuses connections as its machine would while it is down.
+    /// Accepts connections while the target is up.
+    ///
+    /// While it is down the listener is closed, so that the host refuses connections.
     fn accept_all(&self, listener: TcpListener, target: SocketAddr) {
         let mut open = Some(listener);
         loop {
             if self.faults.down.load(Ordering::SeqCst) {
                 open = None;
-                thread::sleep(LOOK_INTERVAL);
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
             if open.is_none() {
@@ -72,39 +74,39 @@
                     let _ = stream.set_nonblocking(false);
                     self.connect(stream, target);
                 }
-                Err(_) => thread::sleep(LOOK_INTERVAL),
+                Err(_) => thread::sleep(POLL_INTERVAL),
             }
         }
     }
 
-    /// Lets connections be refused from now on, or accepted again.
+    /// Refuses new connections from now on, or accepts them again.
     pub fn set_down(&self, down: bool) {
         self.faults.down.store(down, Ordering::SeqCst);
     }
 
-    /// Returns where it listens.
+    /// Returns the address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lets nothing pass in either direction from now on, without closing anything; or lets all
-    /// pass again, what was held back included.
+    /// Holds back data in both directions without closing connections, or forwards it again,
+    /// including the data held back.
     pub fn cut(&self, cut: bool) {
         self.cut_forth(cut);
-        self.faults.cut_back.store(cut, Ordering::SeqCst);
+        self.faults.cut_from_target.store(cut, Ordering::SeqCst);
     }
 
-    /// Lets nothing pass towards the target.
+    /// Holds back data to the target, or forwards it again.
     pub fn cut_forth(&self, cut: bool) {
         self.faults.cut_forth.store(cut, Ordering::SeqCst);
     }
 
-    /// Delays each piece.
+    /// Sets the delay of each chunk of data.
     pub fn delay(&self, delay: Duration) {
         self.faults.delay_ms.store(delay.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// Lets the connections open now stand still for good, while new ones work.
+    /// Stalls the currently open connections permanently; new ones work.
     ///
     /// # Panics
     ///
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Breaks the connections open now.
+    /// Shuts down the currently open connections.
     ///
     /// # Panics
     ///
@@ -126,32 +128,35 @@
         }
     }
 
-    fn connect(&self, near: TcpStream, target: SocketAddr) {
-        let Ok(far) = TcpStream::connect(target) else { return };
+    fn connect(&self, client: TcpStream, target: SocketAddr) {
+        let Ok(server) = TcpStream::connect(target) else { return };
         let frozen = Arc::new(AtomicBool::new(false));
         self.faults.frozen.lock().expect("proxy state").push(frozen.clone());
-        for stream in [&near, &far] {
+        for stream in [&client, &server] {
             let _ = stream.set_nodelay(true);
             if let Ok(copy) = stream.try_clone() {
                 self.faults.streams.lock().expect("proxy state").push(copy);
             }
         }
-        let (Ok(near_copy), Ok(far_copy)) = (near.try_clone(), far.try_clone()) else { return };
-        let forth = Pump { faults: self.faults.clone(), frozen: frozen.clone(), is_forth: true };
-        let back = Pump { faults: self.faults.clone(), frozen, is_forth: false };
-        thread::spawn(move || forth.run(near, far));
-        thread::spawn(move || back.run(far_copy, near_copy));
+        let (Ok(client_copy), Ok(server_copy)) = (client.try_clone(), server.try_clone()) else {
+            return;
+        };
+        let request_side =
+            Forwarder { faults: self.faults.clone(), frozen: frozen.clone(), to_target: true };
+        let response_side = Forwarder { faults: self.faults.clone(), frozen, to_target: false };
+        thread::spawn(move || request_side.run(client, server));
+        thread::spawn(move || response_side.run(server_copy, client_copy));
     }
 }
 
-/// One direction of one connection.
-struct Pump {
+/// Forwards the data of one direction of a connection.
+struct Forwarder {
     faults: Arc<Faults>,
     frozen: Arc<AtomicBool>,
-    is_forth: bool,
+    to_target: bool,
 }
 
-impl Pump {
+impl Forwarder {
     fn run(&self, mut from: TcpStream, mut to: TcpStream) {
         let mut buf = [0; 16 << 10];
         loop {
@@ -171,11 +176,14 @@
         let _ = from.shutdown(Shutdown::Both);
     }
 
-    /// Waits while a fault holds the connection back; a cut hides its end as well.
+    /// Waits while a fault holds back the connection, then for the delay.
+    ///
+    /// It is called before closing as well, so that a cut also hides the end of the connection.
     fn wait(&self) {
-        let cut = if self.is_forth { &self.faults.cut_forth } else { &self.faults.cut_back };
+        let cut =
+            if self.to_target { &self.faults.cut_forth } else { &self.faults.cut_from_target };
         while cut.load(Ordering::SeqCst) || self.frozen.load(Ordering::SeqCst) {
-            thread::sleep(LOOK_INTERVAL);
+            thread::sleep(POLL_INTERVAL);
         }
         thread::sleep(Duration::from_millis(self.faults.delay_ms.load(Ordering::SeqCst)));
     }
