--- a/crates/kingcup-support/src/settings.rs
+++ b/crates/kingcup-support/src/settings.rs
@@ -1,15 +1,15 @@
-//! Settings for machines without I/O.
+//! Settings for tests that drive state machines without I/O.
 
 use kingcupgrade::core::{Millis, fleet::FleetSettings, settings::Role};
 
-/// Returns the settings of an entry of a fleet that finds itself; nothing listens there.
+/// Returns the settings of an entry of a self-discovering fleet; nothing listens on its ports.
 ///
 /// # Panics
 ///
-/// Never: its address is written out.
+/// Never: the address is a valid literal.
 pub fn fleet_settings() -> FleetSettings {
     FleetSettings {
-        ip: "127.0.0.1".parse().expect("an address"),
+        ip: "127.0.0.1".parse().expect("a valid address"),
         role: Role::Entry,
         failure_domain: "north".into(),
         entry_port: 1,
