--- a/crates/kingcup-support/src/traffic.rs
+++ b/crates/kingcup-support/src/traffic.rs
@@ -1,4 +1,5 @@
-//! A service of engines and a plain one, as decisions about traffic are tested and timed with.
+//! Fixtures for tests and measurements of traffic decisions: a service of model engines and a
+//! plain service.
 
 use kingcupgrade::{
     coordination::traffic::{Demand, PromptPart, RequestNo},
@@ -9,16 +10,16 @@
     protocol::fleet::ListedUpstream,
 };
 
-/// Requests that an engine runs at once.
+/// Requests that an engine can run at once.
 pub const ENGINE_SLOTS: u32 = 64;
-/// Until when the first event of an answer should be there.
+/// The target time from arrival to the first event of the response.
 pub const TARGET: Millis = Millis(500);
 
-/// Makes a configuration with a route to the engines.
+/// Creates a configuration with a route to the engines.
 ///
 /// # Panics
 ///
-/// Never: its parts are written out.
+/// Never: its parts are valid constants.
 pub fn configuration(tokens_per_s: f64) -> Configuration {
     let route = Route {
         name: "review".to_owned(),
@@ -48,19 +49,20 @@
         idle_timeout: Millis(15_000),
         tokens_per_s,
     };
-    Configuration::new(1, vec![route], vec![engine, plain], None, limits).expect("a configuration")
+    Configuration::new(1, vec![route], vec![engine, plain], None, limits)
+        .expect("a valid configuration")
 }
 
-/// Makes an upstream of a service, `engine` or `plain`, as the platform lists it.
+/// Creates an upstream of a service, `engine` or `plain`, as the platform lists it.
 ///
 /// # Panics
 ///
-/// Never: its address is written out.
+/// Never: the address is a valid literal.
 pub fn listed(service: &str, name: &str, cold: Millis) -> ListedUpstream {
     ListedUpstream {
         name: name.into(),
         service: service.into(),
-        address: "127.0.0.1:9".parse().expect("an address"),
+        address: "127.0.0.1:9".parse().expect("a valid address"),
         domain: "north".into(),
         slots: if service == "engine" { ENGINE_SLOTS } else { 6 },
         is_ready: true,
@@ -69,8 +71,10 @@
     }
 }
 
-/// Makes a request to the engines, with a part that all share, one of its session, and tokens of its
-/// own.
+/// Creates a request to the engines.
+///
+/// Its prompt has a part that all requests share, one that its session shares, and `own` tokens
+/// that no other request has.
 pub fn demand(no: RequestNo, now: Millis, organisation: &str, session: u64, own: u32) -> Demand {
     let parts = [
         PromptPart { id: 1, tokens: 500 },
