--- a/crates/kingcup-load/src/decisions.rs
+++ b/crates/kingcup-load/src/decisions.rs
@@ -1,7 +1,7 @@
-//! What one entry of a large fleet needs for a decision and for a report of the others.
+//! Measures how long traffic decisions and load reports take on one entry of a large fleet.
 //!
-//! Decisions are calls on the one thread that also relays every answer, so their time is what an
-//! entry's small processor can't spend on callers.
+//! Decisions run on the same thread that relays every response. On an entry with a slow CPU, their
+//! time is no longer available for serving callers.
 
 use std::{hint::black_box, sync::Arc, time::Instant};
 
@@ -23,20 +23,20 @@
 const ENTRIES: u8 = 200;
 const UPSTREAMS: usize = 100;
 const ORGANISATIONS: u64 = 60;
-/// Tokens a second that are promised.
-const PROMISED: f64 = 4_000_000.0;
-/// Sessions whose prompts share a part.
+/// The token rate of all engines together, per second.
+const TOKENS_PER_S: f64 = 4_000_000.0;
+/// Sessions; the prompts of one session share a part.
 const SESSIONS: u64 = 240;
-/// Tokens of a prompt that no other has.
+/// Tokens of a prompt that no other prompt contains.
 const OWN_TOKENS: u32 = 6_600;
-/// Requests decided about in one measurement.
+/// Requests in one measurement of decisions.
 const REQUESTS: u64 = 20_000;
-/// Requests that are under way at this entry.
-const OPEN: u64 = 100;
-/// Reports taken in in one measurement.
+/// Requests in flight at this entry.
+const OPEN_REQUESTS: u64 = 100;
+/// Reports in one measurement of load reports.
 const REPORTS: u32 = 2_000;
 
-/// Measures both and prints one JSON object.
+/// Measures both, prints one JSON object and returns true.
 pub(crate) fn exec() -> anyhow::Result<bool> {
     let mut traffic = traffic();
     let decision_us = time_decisions(&mut traffic);
@@ -52,27 +52,27 @@
     Ok(true)
 }
 
-/// Returns the microseconds that a request's decisions take: where it goes, its first event, its
-/// end, and those that it lets go on.
+/// Returns the time per request in microseconds: admission, first event, end, and polling for
+/// waiting requests that can start.
 fn time_decisions(traffic: &mut Traffic) -> f64 {
-    let begun = Instant::now();
+    let start = Instant::now();
     for no in 0..REQUESTS {
         let now = Millis(1_000 + no * 8);
         if let Some(Verdict::Start(grant)) = traffic.admit(now, request(no, now)) {
             black_box(grant);
             traffic.on_first_event(now + Millis(50), no);
         }
-        if let Some(ended) = no.checked_sub(OPEN) {
+        if let Some(ended) = no.checked_sub(OPEN_REQUESTS) {
             traffic.on_end(now, ended, SendEnd::Answered);
         }
         let mut verdicts = Vec::new();
         traffic.poll(now, &mut verdicts);
         black_box(verdicts);
     }
-    begun.elapsed().as_micros() as f64 / REQUESTS as f64
+    start.elapsed().as_micros() as f64 / REQUESTS as f64
 }
 
-/// Returns the microseconds that taking in the sum of all others takes.
+/// Returns the time in microseconds to process a report with the total load of all other entries.
 fn time_reports(traffic: &mut Traffic) -> f64 {
     let loads = (0..UPSTREAMS).map(|n| {
         let load = Load { running: 8, unread: 2_000, memory: 90_000 };
@@ -88,12 +88,12 @@
         refused: tokens(2_000.0),
         ..LoadReport::default()
     };
-    let begun = Instant::now();
+    let start = Instant::now();
     for turn in 0..REPORTS {
         let now = Millis(200_000 + u64::from(turn) * 200);
         traffic.on_report(now, Instance::from("total"), report.clone());
     }
-    begun.elapsed().as_micros() as f64 / f64::from(REPORTS)
+    start.elapsed().as_micros() as f64 / f64::from(REPORTS)
 }
 
 fn organisation(number: u64) -> Organisation {
@@ -108,7 +108,7 @@
     let ip = |host| [127, 0, 0, host].into();
     let settings = FleetSettings { ip: ip(1), ..fleet_settings() };
     let mut traffic = Traffic::new(Arc::new(settings));
-    traffic.set_configuration(Arc::new(configuration(PROMISED)));
+    traffic.set_configuration(Arc::new(configuration(TOKENS_PER_S)));
     traffic.set_entries((1..=ENTRIES).map(|host| name_of(Role::Entry, ip(host))).collect());
     let listed =
         (0..UPSTREAMS).map(|number| listed("engine", upstream(number).as_str(), Millis::ZERO));
