--- a/crates/kingcup-load/src/demo.rs
+++ b/crates/kingcup-load/src/demo.rs
@@ -1,4 +1,4 @@
-//! A fleet at work, for a first look.
+//! A demonstration of a local fleet under load.
 
 use std::io::{IsTerminal, Write};
 
@@ -7,14 +7,17 @@
     scenario::{Policy, Scenario},
 };
 
-/// How long the demo measures.
+/// The default duration of the measurement.
 const DEFAULT_SECONDS: u64 = 15;
 
-/// Shows a fleet at work; returns whether every promise that was checked held.
+/// Runs the `domain-out` scenario with pooled slots and prints its progress and summary.
+///
+/// Returns whether all checks passed.
 pub(crate) fn exec(seconds: Option<u64>) -> anyhow::Result<bool> {
-    println!("Three failure domains, each with three entries, a control instance, three model");
+    println!("Three failure domains, each with three entries, one control instance, three model");
     println!(
-        "engines and a plain service. Sixteen organisations call; one domain goes and returns."
+        "engines and a plain service. Sixteen organisations send requests. One failure domain is\n\
+         taken out of service and back in."
     );
     let is_terminal = std::io::stdout().is_terminal();
     let progress = |line: &str| {
@@ -23,7 +26,7 @@
         } else {
             println!("{line}");
         }
-        // Without a flush the line would wait for the next newline.
+        // Standard output is line-buffered, and the line above has no newline.
         let _ = std::io::stdout().flush();
     };
     let seconds = Some(seconds.unwrap_or(DEFAULT_SECONDS));
