--- a/crates/kingcup-load/src/drive.rs
+++ b/crates/kingcup-load/src/drive.rs
@@ -1,9 +1,10 @@
-//! One whole entry among 410, driven by the messages of its size, without any process or socket.
+//! Simulates one entry of a fleet of 410 instances without processes or sockets.
 //!
-//! The node is the real one. Everybody else is played: the voters, the record, the dispatchers of
-//! the pools it calls, the entries that call the pools it dispatches, and their dispatchers in the
-//! other failure domains. What it sends is put into frames and counted by kind; what its decisions
-//! cost is the processor time of the node alone, without threads and system calls.
+//! The node is the real state machine. Its peers are simulated: the lease voters, the record, the
+//! dispatchers of the pools it calls, the entries that call the pools it dispatches, and the
+//! dispatchers of these pools in the other failure domains. The frames that the node sends are
+//! counted by message kind. The cost of its decisions is the time spent in the node alone, without
+//! threads and system calls.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -35,22 +36,30 @@
 
 const ENTRIES: usize = 405;
 const CONTROLS: usize = 5;
-/// Organisations of each service, and how many of them are backlogged.
-const MEMBERS: usize = 129;
+/// Organisations of each service.
+const ORGANISATIONS: usize = 129;
+/// Organisations of each service that are backlogged.
 const BACKLOGGED: usize = 13;
-/// Pools the node dispatches: 494 over 405 entries are 1.22; one that is unlucky has two.
-const HELD: usize = 2;
-/// Requests a second of the node's own callers; 48 slots used once a second give each pool 48.
-const OWN_RATE: usize = 57;
+/// Pools that the node dispatches. The 494 pools of 405 entries are 1.22 each on average, and some
+/// entries have two.
+const DISPATCHED_POOLS: usize = 2;
+/// Requests per second of the node's own callers. Each pool serves 48 per second, since each of its
+/// 48 slots is used once a second.
+const OWN_REQUESTS_PER_S: usize = 57;
 const UPSTREAMS: usize = 24;
-/// How long a request runs. At the size it is 19 s; what is sent for one does not depend on it.
-const RUN: u64 = 1_000;
-const COST: u32 = 313;
-/// The time between two steps, and the time measured.
-const STEP: u64 = 5;
-const RUN_UP: u64 = 30_000;
-const SPAN: u64 = 60_000;
-const TICK: u64 = 25;
+/// The run time of a request, in milliseconds. In a fleet of this size it is 19 s, but the messages
+/// sent for a request do not depend on it.
+const REQUEST_MS: u64 = 1_000;
+/// The cost of a request.
+const REQUEST_COST: u32 = 313;
+/// The simulated time between two steps, in milliseconds.
+const STEP_MS: u64 = 5;
+/// The simulated time before the measurement begins, in milliseconds.
+const WARM_UP_MS: u64 = 30_000;
+/// The simulated time that is measured, in milliseconds.
+const MEASURED_MS: u64 = 60_000;
+/// The interval of the node's ticks, in milliseconds.
+const TICK_MS: u64 = 25;
 
 fn address() -> SocketAddr {
     SocketAddr::from(([10, 20, 30, 40], 7_000))
@@ -79,12 +88,15 @@
 }
 
 fn documents() -> Vec<StoredDocument> {
-    // Each slot is used once in RUN; so many give the pool its rate.
-    synthetic::documents(MEMBERS, "slots: {cold: 2, warm: 2}\nlimits: {queue_requests: 1000}\n")
+    // A slot serves one request per REQUEST_MS, so the slots set the request rate of a pool.
+    synthetic::documents(
+        ORGANISATIONS,
+        "slots: {cold: 2, warm: 2}\nlimits: {queue_requests: 1000}\n",
+    )
 }
 
-/// An entry that calls one of the node's pools.
-struct Caller {
+/// The state of a simulated entry that calls one of the pools that the node dispatches.
+struct PeerEntry {
     seq: u64,
     received: u64,
     waiting: BTreeMap<Organisation, u32>,
@@ -93,52 +105,53 @@
     progress: Vec<(GrantId, u32)>,
 }
 
-/// A dispatcher elsewhere that the node's callers are served by.
+/// The state of a simulated dispatcher that serves the node's callers.
 #[derive(Default)]
-struct Granter {
+struct PeerDispatcher {
     session: Option<SessionTag>,
     heard: u64,
     granted: u64,
     waiting: BTreeMap<Organisation, u32>,
 }
 
-struct Drive {
+struct Simulation {
     now: u64,
     node: Node,
     channel: Channel,
-    /// Messages under way to the node.
+    /// Messages in flight to the node: due time, sender and message.
     inbox: VecDeque<(u64, Instance, Message)>,
-    callers: BTreeMap<(usize, Instance), Caller>,
-    granters: BTreeMap<Pool, Granter>,
-    /// What ends when: requests of callers elsewhere, and of the node's own.
+    peer_entries: BTreeMap<(usize, Instance), PeerEntry>,
+    peer_dispatchers: BTreeMap<Pool, PeerDispatcher>,
+    /// Running requests of peer entries: end time, pool and entry, and grant.
     running: VecDeque<(u64, (usize, Instance), GrantId)>,
-    own: VecDeque<(u64, u64)>,
-    /// What the node's own requests will have cost when.
+    /// Running requests of the node's own callers: end time and request ID.
+    own_requests: VecDeque<(u64, u64)>,
+    /// Scheduled progress reports of the node's own requests: time, request ID and cost so far.
     progress: Vec<(u64, u64, u32)>,
     next_request: u64,
     next_grant: u64,
-    busy: Duration,
+    node_time: Duration,
     bytes: BTreeMap<&'static str, usize>,
     messages: BTreeMap<&'static str, usize>,
     grants: usize,
     starts: usize,
 }
 
-impl Drive {
-    fn new() -> Drive {
-        Drive {
+impl Simulation {
+    fn new() -> Simulation {
+        Simulation {
             now: 0,
             node: Node::new(Millis(0), settings(), 1, 1, None),
             channel: Channel::new(FLEET_KEY, [0; 16]),
             inbox: VecDeque::new(),
-            callers: BTreeMap::new(),
-            granters: BTreeMap::new(),
+            peer_entries: BTreeMap::new(),
+            peer_dispatchers: BTreeMap::new(),
             running: VecDeque::new(),
-            own: VecDeque::new(),
+            own_requests: VecDeque::new(),
             progress: Vec::new(),
             next_request: 1,
             next_grant: 1,
-            busy: Duration::ZERO,
+            node_time: Duration::ZERO,
             bytes: BTreeMap::new(),
             messages: BTreeMap::new(),
             grants: 0,
@@ -151,39 +164,39 @@
         let start = Instant::now();
         self.node.handle(Millis(self.now), self.now, input, &mut out);
         self.node.flush(Millis(self.now), self.now, &mut out);
-        self.busy += start.elapsed();
+        self.node_time += start.elapsed();
         for output in out {
-            self.carry_out(output);
+            self.handle_output(output);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         match output {
             Output::Send(to, message) => {
                 let len = self.channel.seal(&message).len();
                 *self.bytes.entry(message.kind()).or_default() += len;
                 *self.messages.entry(message.kind()).or_default() += 1;
-                self.answer(to, message);
+                self.respond(to, message);
             }
             Output::Start { id, .. } => {
                 self.starts += 1;
-                // As the relay does: 64, then each doubling, at even pace until the end.
+                // The relay reports a cost of 64, then each doubling. The cost grows linearly.
                 for cost in [64, 128, 256] {
-                    let at = self.now + RUN * cost / u64::from(COST);
+                    let at = self.now + REQUEST_MS * cost / u64::from(REQUEST_COST);
                     self.progress.push((at, id, cost as u32));
                 }
-                self.own.push_back((self.now + RUN, id));
+                self.own_requests.push_back((self.now + REQUEST_MS, id));
             }
             _ => {}
         }
     }
 
-    fn post(&mut self, from: Instance, message: Message) {
-        self.inbox.push_back((self.now + STEP, from, message));
+    fn deliver(&mut self, from: Instance, message: Message) {
+        self.inbox.push_back((self.now + STEP_MS, from, message));
     }
 
-    /// Answers as whoever a message went to.
-    fn answer(&mut self, to: Instance, message: Message) {
+    /// Responds to a message as its recipient would.
+    fn respond(&mut self, to: Instance, message: Message) {
         match message {
             Message::Lease(LeaseMessage::Request { round, claims }) => {
                 let granted: Vec<Claim> = claims;
@@ -193,7 +206,7 @@
                     refused: Vec::new(),
                     sharing: Vec::new(),
                 };
-                self.post(to, Message::Lease(reply));
+                self.deliver(to, Message::Lease(reply));
             }
             Message::Record(RecordMessage::Pull { have, asked }) => {
                 let documents = documents().into_iter().filter(|stored| stored.index > have);
@@ -212,54 +225,57 @@
                     orders: Vec::new(),
                     whole: None,
                 };
-                self.post(to, Message::Record(state));
+                self.deliver(to, Message::Record(state));
             }
-            Message::Dispatch(message) => self.answer_dispatch(to, message),
+            Message::Dispatch(message) => self.respond_dispatch(to, message),
             _ => {}
         }
     }
 
-    fn answer_dispatch(&mut self, to: Instance, message: DispatchMessage) {
-        let held = (0..HELD).find(|n| service(*n) == message.pool.0);
+    fn respond_dispatch(&mut self, to: Instance, message: DispatchMessage) {
+        let held = (0..DISPATCHED_POOLS).find(|n| service(*n) == message.pool.0);
         match (message.body, held) {
             (DispatchBody::Grants { grants, .. }, Some(pool)) => {
                 self.grants += grants.len();
-                let Some(caller) = self.callers.get_mut(&(pool, to.clone())) else { return };
-                caller.received += grants.len() as u64;
+                let Some(peer_entry) = self.peer_entries.get_mut(&(pool, to.clone())) else {
+                    return;
+                };
+                peer_entry.received += grants.len() as u64;
                 for grant in grants {
-                    let due = self.now + RUN;
+                    let due = self.now + REQUEST_MS;
                     self.running.push_back((due, (pool, to.clone()), grant.id));
-                    // The backlogged stay so: the next request of theirs is there already.
-                    let count = caller.waiting.entry(grant.organisation.clone()).or_default();
+                    // Backlogged organisations stay so: their next request is already waiting.
+                    let count = peer_entry.waiting.entry(grant.organisation.clone()).or_default();
                     *count = count.saturating_sub(1);
                     if *count < 3 {
                         *count += 1;
                     }
-                    caller.changed.insert(grant.organisation);
+                    peer_entry.changed.insert(grant.organisation);
                 }
             }
             (DispatchBody::Open { session, waiting, .. }, None) => {
-                let granter = self.granters.entry(message.pool).or_default();
-                *granter = Granter { session: Some(session.tag()), ..Granter::default() };
-                granter.waiting.extend(waiting.into_iter().map(|Waiting(o, n)| (o, n)));
+                let dispatcher = self.peer_dispatchers.entry(message.pool).or_default();
+                *dispatcher =
+                    PeerDispatcher { session: Some(session.tag()), ..PeerDispatcher::default() };
+                dispatcher.waiting.extend(waiting.into_iter().map(|Waiting(o, n)| (o, n)));
             }
             (DispatchBody::Report { seq, waiting, .. }, None) => {
-                let granter = self.granters.entry(message.pool).or_default();
-                granter.heard = seq;
-                granter.waiting.extend(waiting.into_iter().map(|Waiting(o, n)| (o, n)));
+                let dispatcher = self.peer_dispatchers.entry(message.pool).or_default();
+                dispatcher.heard = seq;
+                dispatcher.waiting.extend(waiting.into_iter().map(|Waiting(o, n)| (o, n)));
             }
             _ => {}
         }
     }
 
-    /// Grants all that the node waits for elsewhere, as a dispatcher with free slots does.
-    fn grant_elsewhere(&mut self) {
-        let pools: Vec<Pool> = self.granters.keys().cloned().collect();
+    /// Grants all requests that the node has waiting at peer dispatchers, as if slots were free.
+    fn send_peer_grants(&mut self) {
+        let pools: Vec<Pool> = self.peer_dispatchers.keys().cloned().collect();
         for pool in pools {
-            let Some(granter) = self.granters.get_mut(&pool) else { continue };
-            let Some(session) = granter.session else { continue };
+            let Some(dispatcher) = self.peer_dispatchers.get_mut(&pool) else { continue };
+            let Some(session) = dispatcher.session else { continue };
             let mut grants = Vec::new();
-            for (organisation, count) in std::mem::take(&mut granter.waiting) {
+            for (organisation, count) in std::mem::take(&mut dispatcher.waiting) {
                 for _ in 0..count {
                     self.next_grant += 1;
                     grants.push(Grant {
@@ -270,28 +286,28 @@
                     });
                 }
             }
-            granter.granted += grants.len() as u64;
-            let (heard, granted) = (granter.heard, granter.granted);
-            let holder = holder_of(&pool.0);
+            dispatcher.granted += grants.len() as u64;
+            let (heard, granted) = (dispatcher.heard, dispatcher.granted);
+            let sender = dispatcher_of(&pool.0);
             if !grants.is_empty() {
                 let body = DispatchBody::Grants { session, heard, grants };
-                self.post_dispatch(&holder, pool, body);
+                self.deliver_dispatch(&sender, pool, body);
             } else if self.now.is_multiple_of(1_000) {
                 let body = DispatchBody::Ack { session, granted, offers: Vec::new() };
-                self.post_dispatch(&holder, pool, body);
+                self.deliver_dispatch(&sender, pool, body);
             }
         }
     }
 
-    fn post_dispatch(&mut self, from: &Instance, pool: Pool, body: DispatchBody) {
+    fn deliver_dispatch(&mut self, from: &Instance, pool: Pool, body: DispatchBody) {
         let message = DispatchMessage { pool, term: 1, origin: None, body };
-        self.post(from.clone(), Message::Dispatch(message));
+        self.deliver(from.clone(), Message::Dispatch(message));
     }
 
-    /// Lets the entries of the failure domain call the node's pools.
-    fn open_callers(&mut self) {
-        for pool in 0..HELD {
-            for (n, place) in (0..ENTRIES).step_by(DOMAINS).skip(1).enumerate() {
+    /// Opens the sessions of the other entries in the failure domain with the node's dispatchers.
+    fn open_peer_sessions(&mut self) {
+        for pool in 0..DISPATCHED_POOLS {
+            for (n, index) in (0..ENTRIES).step_by(DOMAINS).skip(1).enumerate() {
                 let mine = (0..BACKLOGGED).filter(|o| n % 4 == o % 4).map(organisation);
                 let waiting: BTreeMap<Organisation, u32> = mine.map(|o| (o, 3)).collect();
                 let open = DispatchBody::Open {
@@ -299,7 +315,7 @@
                     waiting: waiting.iter().map(|(o, n)| Waiting(o.clone(), *n)).collect(),
                     held: Vec::new(),
                 };
-                let caller = Caller {
+                let peer_entry = PeerEntry {
                     seq: 0,
                     received: 0,
                     waiting,
@@ -307,42 +323,48 @@
                     finished: Vec::new(),
                     progress: Vec::new(),
                 };
-                self.callers.insert((pool, entry(place)), caller);
-                self.post_dispatch(&entry(place), own_pool(pool), open);
+                self.peer_entries.insert((pool, entry(index)), peer_entry);
+                self.deliver_dispatch(&entry(index), dispatched_pool(pool), open);
             }
         }
     }
 
-    fn report_callers(&mut self) {
-        let keys: Vec<(usize, Instance)> = self.callers.keys().cloned().collect();
+    fn send_peer_reports(&mut self) {
+        let keys: Vec<(usize, Instance)> = self.peer_entries.keys().cloned().collect();
         for key in keys {
-            let Some(caller) = self.callers.get_mut(&key) else { continue };
-            let is_alive = self.now.is_multiple_of(1_000);
-            if caller.changed.is_empty() && caller.finished.is_empty() && !is_alive {
+            let Some(peer_entry) = self.peer_entries.get_mut(&key) else { continue };
+            let is_keep_alive_due = self.now.is_multiple_of(1_000);
+            if peer_entry.changed.is_empty() && peer_entry.finished.is_empty() && !is_keep_alive_due
+            {
                 continue;
             }
-            caller.seq += 1;
-            let changed = std::mem::take(&mut caller.changed);
-            let counts = &caller.waiting;
+            peer_entry.seq += 1;
+            let changed = std::mem::take(&mut peer_entry.changed);
+            let counts = &peer_entry.waiting;
             let body = DispatchBody::Report {
                 session: Session(1, 1).tag(),
-                seq: caller.seq,
-                received: caller.received,
+                seq: peer_entry.seq,
+                received: peer_entry.received,
                 waiting: changed.into_iter().map(|o| Waiting(o.clone(), counts[&o])).collect(),
-                finished: std::mem::take(&mut caller.finished),
-                progress: std::mem::take(&mut caller.progress),
+                finished: std::mem::take(&mut peer_entry.finished),
+                progress: std::mem::take(&mut peer_entry.progress),
             };
-            self.post_dispatch(&key.1, own_pool(key.0), body);
+            self.deliver_dispatch(&key.1, dispatched_pool(key.0), body);
         }
     }
 
     fn end_requests(&mut self) {
         while self.running.front().is_some_and(|(due, ..)| *due <= self.now) {
             let Some((_, key, id)) = self.running.pop_front() else { break };
-            let Some(caller) = self.callers.get_mut(&key) else { continue };
+            let Some(peer_entry) = self.peer_entries.get_mut(&key) else { continue };
             let ending = Ending::Completed;
-            caller.finished.push(Finished { id, ending, cost: COST, first_byte_ms: Some(400) });
-            caller.progress.push((id, COST / 2));
+            peer_entry.finished.push(Finished {
+                id,
+                ending,
+                cost: REQUEST_COST,
+                first_byte_ms: Some(400),
+            });
+            peer_entry.progress.push((id, REQUEST_COST / 2));
         }
         let (due, later): (Vec<_>, Vec<_>) =
             self.progress.drain(..).partition(|(at, ..)| *at <= self.now);
@@ -350,21 +372,27 @@
         for (_, id, cost) in due {
             self.input(Input::Progressed(id, cost));
         }
-        while self.own.front().is_some_and(|(due, _)| *due <= self.now) {
-            let Some((_, id)) = self.own.pop_front() else { break };
+        while self.own_requests.front().is_some_and(|(due, _)| *due <= self.now) {
+            let Some((_, id)) = self.own_requests.pop_front() else { break };
             let end = AttemptEnd::Completed;
             let first_byte_ms = Some(400);
-            self.input(Input::AttemptEnded { id, end, cost: COST, first_byte_ms, answer: None });
+            self.input(Input::AttemptEnded {
+                id,
+                end,
+                cost: REQUEST_COST,
+                first_byte_ms,
+                answer: None,
+            });
         }
     }
 
-    fn arrive(&mut self) {
+    fn send_request(&mut self) {
         let id = self.next_request;
         self.next_request += 1;
         let arrival = Arrival {
             id,
             service: service(id as usize % SERVICES),
-            organisation: organisation(id as usize * 7 % MEMBERS),
+            organisation: organisation(id as usize * 7 % ORGANISATIONS),
             bytes: 100,
             idempotent: true,
             needs_claim: false,
@@ -372,14 +400,15 @@
         self.input(Input::Arrived(arrival, None));
     }
 
-    /// Tells who holds the other leases, and what other failure domains served.
-    fn tell(&mut self) {
-        for n in HELD..SERVICES {
+    /// Sends the node the lease holders of the other pools, and what the dispatchers of its pools in
+    /// the other failure domains have served.
+    fn send_announcements(&mut self) {
+        for n in DISPATCHED_POOLS..SERVICES {
             let claims = vec![Claim(service(n), 1)];
             let announce = Message::Lease(LeaseMessage::Announce { claims });
-            self.post(holder_of(&service(n)), announce);
+            self.deliver(dispatcher_of(&service(n)), announce);
         }
-        for pool in 0..HELD {
+        for pool in 0..DISPATCHED_POOLS {
             for other in 1..DOMAINS {
                 let total = self.now as i64 * 1_000;
                 let served = (0..BACKLOGGED).map(|o| Served(organisation(o).tag(), total, 0));
@@ -388,13 +417,13 @@
                     least: Some(total),
                     served: served.collect(),
                 };
-                self.post_dispatch(&entry(other), own_pool(pool), body);
+                self.deliver_dispatch(&entry(other), dispatched_pool(pool), body);
             }
         }
     }
 
-    fn list(&mut self) {
-        for pool in 0..HELD {
+    fn send_listing(&mut self) {
+        for pool in 0..DISPATCHED_POOLS {
             let listed = (0..UPSTREAMS).map(|n| Listed {
                 upstream: format!("engine-{pool}{n:03}").as_str().into(),
                 address: address(),
@@ -407,75 +436,80 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_MS;
         while self.inbox.front().is_some_and(|(due, ..)| *due <= self.now) {
             let Some((_, from, message)) = self.inbox.pop_front() else { break };
             self.input(Input::Received(from, message));
         }
         self.end_requests();
-        self.grant_elsewhere();
-        self.report_callers();
-        if self.now.is_multiple_of(TICK) {
+        self.send_peer_grants();
+        self.send_peer_reports();
+        if self.now.is_multiple_of(TICK_MS) {
             self.input(Input::Tick);
         }
         if self.now.is_multiple_of(1_000) {
-            self.tell();
+            self.send_announcements();
         }
         if self.now.is_multiple_of(400) {
-            self.list();
+            self.send_listing();
         }
-        if self.callers.is_empty() && self.node.dispatchers().len() == HELD {
-            self.open_callers();
+        if self.peer_entries.is_empty() && self.node.dispatchers().len() == DISPATCHED_POOLS {
+            self.open_peer_sessions();
         }
-        let due = |at: u64| at as usize * OWN_RATE / 1_000;
-        for _ in due(self.now - STEP)..due(self.now) {
-            self.arrive();
+        let due = |at: u64| at as usize * OWN_REQUESTS_PER_S / 1_000;
+        for _ in due(self.now - STEP_MS)..due(self.now) {
+            self.send_request();
         }
     }
 }
 
-fn own_pool(n: usize) -> Pool {
+fn dispatched_pool(n: usize) -> Pool {
     Pool(service(n), domain(0).as_str().into())
 }
 
-/// Returns which resident of the node's failure domain dispatches a service that it does not.
-fn holder_of(name: &Service) -> Instance {
-    let place = (0..SERVICES).find(|n| service(*n) == *name).unwrap_or(0);
-    let residents = ENTRIES.div_ceil(DOMAINS) - 1;
-    entry((1 + place % residents) * DOMAINS)
+/// Returns the entry of the node's failure domain that dispatches a service if the node does not.
+fn dispatcher_of(name: &Service) -> Instance {
+    let index = (0..SERVICES).find(|n| service(*n) == *name).unwrap_or(0);
+    let peer_count = ENTRIES.div_ceil(DOMAINS) - 1;
+    entry((1 + index % peer_count) * DOMAINS)
 }
 
-/// Drives an entry and prints what it sent and cost, as one JSON object.
+/// Simulates an entry and prints its traffic and time as one JSON object.
+///
+/// Returns whether its control traffic is within the limit.
 pub(crate) fn exec() -> anyhow::Result<bool> {
-    let mut drive = Drive::new();
-    while drive.now < RUN_UP {
-        drive.step();
+    let mut simulation = Simulation::new();
+    while simulation.now < WARM_UP_MS {
+        simulation.step();
     }
-    drive.bytes.clear();
-    drive.messages.clear();
-    (drive.busy, drive.grants, drive.starts) = (Duration::ZERO, 0, 0);
-    while drive.now < RUN_UP + SPAN {
-        drive.step();
+    simulation.bytes.clear();
+    simulation.messages.clear();
+    (simulation.node_time, simulation.grants, simulation.starts) = (Duration::ZERO, 0, 0);
+    while simulation.now < WARM_UP_MS + MEASURED_MS {
+        simulation.step();
     }
-    let seconds = SPAN as f64 / 1_000.0;
+    let seconds = MEASURED_MS as f64 / 1_000.0;
     let rate = |counts: &BTreeMap<&'static str, usize>| {
         let rates = counts.iter().map(|(kind, n)| (*kind, (*n as f64 / seconds).round()));
         rates.collect::<BTreeMap<&str, f64>>()
     };
-    let dispatched = drive.node.dispatchers().len();
-    anyhow::ensure!(dispatched == HELD, "it dispatches {dispatched} pools, not {HELD}");
-    let total: usize = drive.bytes.values().sum();
+    let dispatched = simulation.node.dispatchers().len();
+    anyhow::ensure!(
+        dispatched == DISPATCHED_POOLS,
+        "the node dispatches {dispatched} pools instead of {DISPATCHED_POOLS}"
+    );
+    let total: usize = simulation.bytes.values().sum();
     let result = json!({
         "nodes": ENTRIES + CONTROLS,
         "failure_domains": DOMAINS,
-        "organisations": SERVICES * MEMBERS,
+        "organisations": SERVICES * ORGANISATIONS,
         "pools_dispatched": dispatched,
-        "grants_per_s": drive.grants as f64 / seconds,
-        "own_requests_per_s": drive.starts as f64 / seconds,
+        "grants_per_s": simulation.grants as f64 / seconds,
+        "own_requests_per_s": simulation.starts as f64 / seconds,
         "bytes_per_s": (total as f64 / seconds).round(),
-        "bytes_per_s_by_kind": rate(&drive.bytes),
-        "messages_per_s_by_kind": rate(&drive.messages),
-        "node_cpu_percent": drive.busy.as_secs_f64() / seconds * 100.0,
+        "bytes_per_s_by_kind": rate(&simulation.bytes),
+        "messages_per_s_by_kind": rate(&simulation.messages),
+        "node_cpu_percent": simulation.node_time.as_secs_f64() / seconds * 100.0,
     });
     println!("{}", serde_json::to_string_pretty(&result)?);
     Ok(total as f64 / seconds <= crate::result::CONTROL_LIMIT)
