--- a/crates/kingcup-load/src/flags.rs
+++ b/crates/kingcup-load/src/flags.rs
@@ -3,34 +3,34 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Drives a local fleet and reports.
+    /// Load-tests a local fleet and reports the results.
     cmd kingcup-load {
-        /// Shows a fleet at work: a mixed load, and a failure domain out and back.
+        /// Runs a demo: a mixed load while a failure domain is taken out of service and back in.
         cmd demo {
-            /// How long to measure (default: 15).
+            /// The duration of the measurement in seconds (default: 15).
             optional --seconds seconds: u64
         }
-        /// Runs one experiment; exits with 0 only if every promise it checked held.
+        /// Runs one experiment; exits with 0 only if all checks pass.
         cmd run {
             /// The scenario.
             required --scenario name: String
-            /// The policy: pooled (default) or static, the baseline.
+            /// The policy: pooled (default) or static (the baseline).
             optional --policy name: String
-            /// How long to measure (default: 12).
+            /// The duration of the measurement in seconds (default: 12).
             optional --seconds seconds: u64
-            /// Prints one JSON object.
+            /// Prints the result as one JSON object.
             optional --json
         }
-        /// Draws results side by side.
+        /// Draws charts that compare results.
         cmd report {
-            /// Files of results, one JSON object a line.
+            /// Result files with one JSON object per line.
             repeated results: PathBuf
-            /// The picture (.svg) or page (.html) to write.
+            /// The image (.svg) or page (.html) to write.
             required --out path: PathBuf
         }
-        /// Measures how fast the durable record commits; prints one JSON object.
+        /// Measures the commit rate of the durable record; prints one JSON object.
         cmd record {}
-        /// Measures what one instance of each role costs at growing sizes; prints JSON.
+        /// Measures the cost of one instance of each role at growing sizes; prints one JSON object.
         cmd slopes {}
         /// Measures one part (entry, dispatcher, control, instance) at one size.
         cmd slope {
@@ -39,17 +39,18 @@
             /// The size, as a multiple of the smallest.
             required factor: usize
         }
-        /// Drives one entry among 410 without processes and counts what it sends; exits with 0 only
-        /// if that is within the limit.
+        /// Simulates one entry of 410 instances and counts what it sends; exits with 0 only if that
+        /// is within the limit.
         cmd drive {}
-        /// Measures what a decision and a report take at one entry of 200; prints one JSON object.
+        /// Measures the time of a decision and a load report at one of 200 entries; prints one JSON
+        /// object.
         cmd decisions {}
-        /// Runs one instance; what this tool starts its fleets with.
+        /// Runs one instance; used by this tool to start its fleets.
         cmd instance {
             /// The settings file.
             required --settings path: PathBuf
         }
-        /// Makes a control instance's data folder; what this tool starts its fleets with.
+        /// Initialises a control instance's data folder; used by this tool to start its fleets.
         cmd init {
             /// The settings file.
             required --settings path: PathBuf
