--- a/crates/kingcup-load/src/load.rs
+++ b/crates/kingcup-load/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers: threads that ask, wait and ask again.
+//! The callers of an experiment, each a thread that sends one request after the other.
 
 use std::{
     net::SocketAddr,
@@ -18,18 +18,19 @@
 
 use crate::scenario::{Group, ORGANISATIONS};
 
-/// Tokens of a request: from this many,
+/// The fewest tokens of a request.
 const MIN_TOKENS: u64 = 10;
-/// and so many more at most.
+/// The range of the tokens of a request above [`MIN_TOKENS`].
 const TOKENS_SPREAD: u64 = 50;
-/// The most tokens a request has.
+/// An upper bound on the tokens of a request.
 pub(crate) const MAX_TOKENS: u64 = MIN_TOKENS + TOKENS_SPREAD;
-/// The longest a refused caller waits here, whatever it is told; experiments are short.
-const MAX_BACK_OFF: Duration = Duration::from_millis(1_000);
-/// How long a depositor pauses.
+/// The longest that a refused caller waits. Experiments are short, so a longer `retry-after` is
+/// ignored.
+const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
+/// The pause of a depositor between deposits.
 const DEPOSIT_PAUSE: Duration = Duration::from_millis(300);
-/// Tries of a deposit under one key.
-const DEPOSIT_TRIES: usize = 6;
+/// The maximum number of attempts of a deposit under one idempotency key.
+const MAX_DEPOSIT_ATTEMPTS: usize = 6;
 
 /// How a caller's request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,34 +42,34 @@
     Truncated,
 }
 
-/// A caller's request.
+/// A request of a caller to a model engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Asked {
     pub(crate) id: String,
     pub(crate) organisation: usize,
     pub(crate) at: Instant,
-    /// When its first event came, or its refusal.
+    /// When the first event or the refusal was received.
     pub(crate) until: Instant,
     pub(crate) end: End,
 }
 
-/// A deposit under one key.
+/// A deposit under one idempotency key.
 #[derive(Clone, Debug)]
 pub(crate) struct Deposit {
     pub(crate) key: String,
-    /// Whether its last try was answered as not run, and no earlier one otherwise.
+    /// Whether all attempts were answered as not run.
     pub(crate) not_run: bool,
     pub(crate) end: End,
 }
 
-/// What callers experienced.
+/// The requests as the callers observed them.
 #[derive(Default)]
 pub(crate) struct Log {
     pub(crate) asked: Mutex<Vec<Asked>>,
     pub(crate) deposits: Mutex<Vec<Deposit>>,
 }
 
-/// Callers at work.
+/// The running callers.
 pub(crate) struct Load {
     log: Arc<Log>,
     stop: Arc<AtomicBool>,
@@ -90,7 +91,8 @@
         &self.log
     }
 
-    /// Lets a group of callers begin; each calls its entry, and the others if that one is gone.
+    /// Starts a group of callers. Each calls its own entry, and the next ones while that is
+    /// unreachable.
     pub(crate) fn add_group(&mut self, group: Group, entries: &[SocketAddr]) {
         for n in 0..group.callers {
             let entries = entries.to_vec();
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Lets one caller make deposits, each retried under its key through the next entry.
+    /// Starts a caller that makes deposits; each attempt uses the same key and the next entry.
     pub(crate) fn add_depositor(&mut self, organisation: usize, entries: &[SocketAddr]) {
         let entries = entries.to_vec();
         let (log, stop, next) = (self.log.clone(), self.stop.clone(), self.next.clone());
@@ -109,11 +111,11 @@
         self.threads.push(thread::spawn(call));
     }
 
-    /// Lets all callers finish what they began.
+    /// Stops all callers and waits until they have finished their current requests.
     pub(crate) fn finish(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads.drain(..) {
-            // A caller that panicked has logged nothing wrong; its panic is on standard error.
+            // A panic is already printed to standard error and adds no wrong entry to the log.
             let _ = thread.join();
         }
     }
@@ -140,26 +142,26 @@
         let prompt = Prompt { id: id.clone(), organisation: name.to_owned(), tokens };
         let at = Instant::now();
         let answer = caller.prompt(entries[entry], "tutor", &prompt);
-        let end = judge(&answer, &prompt);
+        let end = classify(&answer, &prompt);
         let until = if end == End::NotRun { Instant::now() } else { at + answer.first };
         let asked = Asked { id, organisation: group.organisation, at, until, end };
-        log.asked.lock().expect("the log").push(asked);
+        log.asked.lock().expect("request log").push(asked);
         if answer.status == 0 {
-            // As behind the platform's balancer: an entry that can't be reached is passed over.
+            // The platform's load balancer would skip an entry that can't be reached.
             entry = (entry + 1) % entries.len();
             thread::sleep(Duration::from_millis(50));
         } else {
             entry = group.entry;
         }
         if end == End::NotRun {
-            let told = Duration::from_secs(answer.retry_after.unwrap_or(0));
-            thread::sleep(told.min(MAX_BACK_OFF));
+            let retry_after = Duration::from_secs(answer.retry_after.unwrap_or(0));
+            thread::sleep(retry_after.min(MAX_BACKOFF));
         }
         thread::sleep(Duration::from_millis(group.pause_ms));
     }
 }
 
-fn judge(answer: &Answer, prompt: &Prompt) -> End {
+fn classify(answer: &Answer, prompt: &Prompt) -> End {
     if answer.is_crossed(prompt) {
         End::Crossed
     } else if answer.answers(prompt) {
@@ -186,23 +188,23 @@
     while !stop.load(Ordering::SeqCst) {
         let key = format!("{name}-{}", next.fetch_add(1, Ordering::SeqCst));
         let mut deposit = Deposit { key: key.clone(), not_run: true, end: End::NotRun };
-        for _ in 0..DEPOSIT_TRIES {
+        for _ in 0..MAX_DEPOSIT_ATTEMPTS {
             let answer = caller.post(entries[entry], "/orders/deposits", "amount", Some(&key));
-            let is_done = answer.is_whole && answer.outcome == "done";
+            let is_complete = answer.is_whole && answer.outcome == "done";
             deposit.not_run &= answer.outcome == "not-run";
             deposit.end = match answer.outcome.as_str() {
-                "done" if is_done && answer.body.starts_with(&key) => End::Completed,
-                "done" if is_done => End::Crossed,
+                "done" if is_complete && answer.body.starts_with(&key) => End::Completed,
+                "done" if is_complete => End::Crossed,
                 "not-run" => End::NotRun,
                 _ => End::Unknown,
             };
-            if is_done {
+            if is_complete {
                 break;
             }
             entry = (entry + 1) % entries.len();
             thread::sleep(Duration::from_millis(300));
         }
-        log.deposits.lock().expect("the log").push(deposit);
+        log.deposits.lock().expect("request log").push(deposit);
         thread::sleep(DEPOSIT_PAUSE);
     }
 }
