--- a/crates/kingcup-load/src/measure.rs
+++ b/crates/kingcup-load/src/measure.rs
@@ -1,4 +1,5 @@
-//! Measures, worked out from the stand-ins' own records and from when callers asked.
+//! Metrics of an experiment, computed from the records of the fake engines and the request log of
+//! the callers.
 
 use std::{
     collections::BTreeMap,
@@ -13,10 +14,10 @@
     world::WARM_SLOTS,
 };
 
-/// The distance of the points in time that are looked at.
-const STEP: Duration = Duration::from_millis(25);
+/// The interval at which time series are sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A span of time.
+/// A time range; `until` is not part of it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Window {
     pub(crate) from: Instant,
@@ -25,21 +26,23 @@
 
 impl Window {
     fn steps(self) -> usize {
-        (self.until.saturating_duration_since(self.from).as_micros() / STEP.as_micros()) as usize
+        (self.until.saturating_duration_since(self.from).as_micros() / SAMPLE_INTERVAL.as_micros())
+            as usize
     }
 
     fn step_of(self, at: Instant) -> usize {
-        (at.saturating_duration_since(self.from).as_micros() / STEP.as_micros()) as usize
+        (at.saturating_duration_since(self.from).as_micros() / SAMPLE_INTERVAL.as_micros()) as usize
     }
 
-    fn holds(self, at: Instant) -> bool {
+    fn contains(self, at: Instant) -> bool {
         self.from <= at && at < self.until
     }
 }
 
-/// Returns for each organisation whether a request of it waited at each step: it had been asked,
-/// and no engine had begun it.
-fn waiting(asked: &[Asked], records: &[EngineRecord], window: Window) -> Vec<Vec<bool>> {
+/// Returns for each organisation whether any of its requests was waiting at each step.
+///
+/// A request is waiting from when it was sent until an engine started it.
+fn waiting_by_step(asked: &[Asked], records: &[EngineRecord], window: Window) -> Vec<Vec<bool>> {
     let begun = records.iter().flat_map(|record| &record.begun);
     let mut begins: BTreeMap<&str, Instant> = BTreeMap::new();
     for (id, at) in begun {
@@ -53,39 +56,41 @@
         }
         let first = window.step_of(request.at);
         let last = window.step_of(until).min(window.steps());
-        let line = &mut waited[request.organisation];
-        line[first.min(last)..last].fill(true);
+        let series = &mut waited[request.organisation];
+        series[first.min(last)..last].fill(true);
     }
     waited
 }
 
-/// Returns for each organisation its service over share up to each step.
-fn service(records: &[EngineRecord], window: Window) -> Vec<Vec<f64>> {
-    let places: BTreeMap<&str, usize> =
+/// Returns for each organisation its cumulative service, divided by its share, at each step.
+fn service_by_step(records: &[EngineRecord], window: Window) -> Vec<Vec<f64>> {
+    let indexes: BTreeMap<&str, usize> =
         ORGANISATIONS.iter().enumerate().map(|(n, (name, _))| (*name, n)).collect();
-    let mut lines = vec![vec![0.0; window.steps() + 1]; ORGANISATIONS.len()];
+    let mut totals = vec![vec![0.0; window.steps() + 1]; ORGANISATIONS.len()];
     for part in records.iter().flat_map(|record| &record.served) {
-        let Some(place) = places.get(part.organisation.as_str()) else { continue };
-        if window.holds(part.at) {
+        let Some(index) = indexes.get(part.organisation.as_str()) else { continue };
+        if window.contains(part.at) {
             let step = window.step_of(part.at).min(window.steps());
-            lines[*place][step] += part.tokens as f64 / f64::from(ORGANISATIONS[*place].1);
+            totals[*index][step] += part.tokens as f64 / f64::from(ORGANISATIONS[*index].1);
         }
     }
-    for line in &mut lines {
+    for series in &mut totals {
         let mut sum = 0.0;
-        for value in line {
+        for value in series {
             sum += *value;
             *value = sum;
         }
     }
-    lines
+    totals
 }
 
-/// Returns the largest difference in service over share that two organisations came to over any
-/// span in which both were backlogged all the time.
+/// Returns the fairness gap.
+///
+/// It is the largest difference in service per share that two organisations reach over any time
+/// range in which both always have waiting requests.
 pub(crate) fn fairness_gap(asked: &[Asked], records: &[EngineRecord], window: Window) -> f64 {
-    let waited = waiting(asked, records, window);
-    let served = service(records, window);
+    let waited = waiting_by_step(asked, records, window);
+    let served = service_by_step(records, window);
     let mut gap: f64 = 0.0;
     for a in 0..ORGANISATIONS.len() {
         for b in a + 1..ORGANISATIONS.len() {
@@ -112,52 +117,56 @@
     gap
 }
 
-/// Returns busy slot time over available slot time, over the steps at which any request waited;
-/// `None` if none ever did.
+/// Returns the fraction of the slots that was in use, over the steps at which any request waited.
+///
+/// It is `None` if no request ever waited.
 pub(crate) fn utilisation(
     asked: &[Asked],
     records: &[EngineRecord],
     window: Window,
 ) -> Option<f64> {
-    let waited = waiting(asked, records, window);
+    let waited = waiting_by_step(asked, records, window);
     let (mut busy, mut available) = (0.0, 0.0);
-    let running: Vec<Vec<u32>> = records.iter().map(|record| running(record, window)).collect();
+    let running: Vec<Vec<u32>> =
+        records.iter().map(|record| running_by_step(record, window)).collect();
     for step in 0..window.steps() {
-        if !waited.iter().any(|line| line[step]) {
+        if !waited.iter().any(|series| series[step]) {
             continue;
         }
-        busy += running.iter().map(|line| f64::from(line[step])).sum::<f64>();
+        busy += running.iter().map(|series| f64::from(series[step])).sum::<f64>();
         available += f64::from(WARM_SLOTS) * records.len() as f64;
     }
     (available > 0.0).then(|| busy / available)
 }
 
-/// Returns an engine's running requests at each step.
-fn running(record: &EngineRecord, window: Window) -> Vec<u32> {
-    let mut line = Vec::with_capacity(window.steps());
+/// Returns the number of running requests of an engine at each step.
+fn running_by_step(record: &EngineRecord, window: Window) -> Vec<u32> {
+    let mut series = Vec::with_capacity(window.steps());
     let mut changes = record.running.iter().peekable();
     let mut current = 0;
     for step in 0..window.steps() {
-        let at = window.from + STEP * step as u32;
+        let at = window.from + SAMPLE_INTERVAL * step as u32;
         while let Some((_, count)) = changes.next_if(|(changed, _)| *changed <= at) {
             current = *count;
         }
-        line.push(current);
+        series.push(current);
     }
-    line
+    series
 }
 
-/// Returns the time to the first token that 95 in 100 completed requests stayed within, in
-/// milliseconds, of the requests asked in the window that `counts` accepts.
+/// Returns the 95th percentile of the time to the first token, in milliseconds.
+///
+/// Only completed requests count that were sent within the window by an organisation that `include`
+/// accepts. It is `None` if there are none.
 pub(crate) fn first_token_p95(
     asked: &[Asked],
     window: Window,
-    counts: impl Fn(usize) -> bool,
+    include: impl Fn(usize) -> bool,
 ) -> Option<f64> {
-    let in_window = |request: &&Asked| window.holds(request.at) && request.end == End::Completed;
-    let counted = asked.iter().filter(in_window).filter(|r| counts(r.organisation));
-    let mut times: Vec<Duration> = counted.map(|r| r.until - r.at).collect();
+    let in_window = |request: &&Asked| window.contains(request.at) && request.end == End::Completed;
+    let included = asked.iter().filter(in_window).filter(|r| include(r.organisation));
+    let mut times: Vec<Duration> = included.map(|r| r.until - r.at).collect();
     times.sort();
-    let place = (times.len() * 95).div_ceil(100).checked_sub(1)?;
-    Some(times[place].as_secs_f64() * 1_000.0)
+    let index = (times.len() * 95).div_ceil(100).checked_sub(1)?;
+    Some(times[index].as_secs_f64() * 1_000.0)
 }
