--- a/crates/kingcup-load/src/record.rs
+++ b/crates/kingcup-load/src/record.rs
@@ -1,7 +1,9 @@
-//! How fast the durable record commits, against a bare loop of appends and syncs on the same disk.
+//! Measures the commit rate of the durable record, compared to a loop of appends and syncs on the
+//! same disk.
 //!
-//! Measured twice: by whole deposits, which also pay for HTTP, queues and grants, and by clients that
-//! speak to the record's leader as entries do, which shows what the record itself bears.
+//! It is measured by deposits, which include the cost of HTTP, queues and grants, and by clients
+//! that speak the protocol of entries with the record's leader, which shows the capacity of the
+//! record itself.
 
 use std::{
     collections::BTreeMap,
@@ -39,29 +41,30 @@
 };
 use serde::Serialize;
 
-/// How long each step is measured.
-const SPAN: Duration = Duration::from_secs(4);
-/// The size of a bare append, about that of a claim in the log.
+/// The duration of the measurement of each step.
+const MEASURED_TIME: Duration = Duration::from_secs(4);
+/// The size of an append in bytes without the record, about that of a claim in the log.
 const APPEND_LEN: usize = 200;
-/// How many clients are measured at once.
+/// The numbers of concurrent clients to measure.
 const CLIENTS: [usize; 3] = [1, 16, 256];
-/// Organisations that make deposits; each may have so many request keys and no more.
+/// Organisations that make deposits. There are several because the number of request keys of one is
+/// limited.
 const ORGANISATIONS: usize = 16;
-/// The instance that the clients of the record speak as; no process of the fleet runs it.
+/// The instance name that the clients of the record use. It has no process in the fleet.
 const CLIENT: &str = "client";
-/// How long a client of the record waits for an answer before it is taken for lost.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(5);
+/// The timeout for a reply of the record, and for the fleet to start.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Entries of the measured fleet.
 const ENTRIES: usize = 4;
 
 #[derive(Clone, Debug, Serialize)]
 struct Step {
     clients: usize,
-    /// Claims and settlements made final each second.
+    /// Claims and settlements committed per second.
     commits_per_s: f64,
-    /// Of a whole deposit, or of one change of the record.
+    /// The 95th percentile of the time of a deposit, or of one change of the record.
     ms_p95: f64,
-    /// Commits against bare syncs.
+    /// The commit rate relative to the rate of bare syncs.
     ratio: f64,
 }
 
@@ -79,12 +82,12 @@
     bare_syncs_per_s: f64,
     deposits: Vec<Step>,
     changes: Vec<Step>,
-    /// Changes that shared a sync of the leader, with the most clients.
+    /// Changes per disk sync of the leader, with the most clients.
     changes_a_sync: f64,
     seconds_without_leader: f64,
 }
 
-/// Measures and prints one JSON object.
+/// Runs all measurements, prints one JSON object and returns true.
 pub(crate) fn exec() -> anyhow::Result<bool> {
     let platform = Platform::start(Duration::ZERO);
     let plain = Plain::start(Duration::ZERO);
@@ -104,18 +107,24 @@
         fleet.run(instance)?;
     }
     let is_up = || running.iter().all(|instance| fleet.status(instance).is_ok());
-    anyhow::ensure!(wait_until(ANSWER_PATIENCE, is_up), "an instance does not come up");
+    anyhow::ensure!(
+        wait_until(REPLY_TIMEOUT, is_up),
+        "an instance did not respond within {REPLY_TIMEOUT:?}"
+    );
     let rest = "never_repeat:\n  - {method: POST, path: /deposits}\n\
                 slots: {cold: 512, warm: 512}\nlimits: {queue_requests: 1024}\n";
     let names: Vec<String> = (0..ORGANISATIONS).map(organisation).collect();
     let organisations: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 1)).collect();
     fleet.apply("orders", 0, &document("orders", "plain-service", &organisations, rest))?;
     let is_dispatched = || fleet.dispatcher_of("orders", "north").is_some();
-    anyhow::ensure!(wait_until(ANSWER_PATIENCE, is_dispatched), "nobody dispatches");
-    let bare = bare_syncs(&fleet.data_folder("control-0"))?;
+    anyhow::ensure!(
+        wait_until(REPLY_TIMEOUT, is_dispatched),
+        "no dispatcher of orders within {REPLY_TIMEOUT:?}"
+    );
+    let bare = measure_bare_syncs(&fleet.data_folder("control-0"))?;
     let entries: Vec<SocketAddr> =
         (0..ENTRIES).map(|n| fleet.entry(&format!("entry-{n}"))).collect();
-    let deposits = CLIENTS.map(|clients| measure(clients, &entries, bare)).to_vec();
+    let deposits = CLIENTS.map(|clients| measure_deposits(clients, &entries, bare)).to_vec();
     let mut clients = RecordClients::start(&fleet)?;
     let mut changes = Vec::new();
     let mut changes_a_sync = 0.0;
@@ -127,7 +136,7 @@
         changes.push(step);
         changes_a_sync = made as f64 / (syncs() - before);
     }
-    let seconds_without_leader = without_leader(&mut fleet)?;
+    let seconds_without_leader = measure_failover(&mut fleet)?;
     let result = RecordResult {
         bare_syncs_per_s: bare,
         deposits,
@@ -143,13 +152,13 @@
     format!("org-{n}")
 }
 
-/// Appends and syncs one after the other.
-fn bare_syncs(folder: &Path) -> anyhow::Result<f64> {
+/// Returns the rate per second of appends that are each synced before the next.
+fn measure_bare_syncs(folder: &Path) -> anyhow::Result<f64> {
     let path = folder.join("bare");
     let mut f = File::create(&path)?;
     let start = Instant::now();
     let mut count = 0;
-    while start.elapsed() < SPAN / 2 {
+    while start.elapsed() < MEASURED_TIME / 2 {
         f.write_all(&[7; APPEND_LEN])?;
         f.sync_data()?;
         count += 1;
@@ -159,26 +168,26 @@
     Ok(rate)
 }
 
-fn measure(clients: usize, entries: &[SocketAddr], bare: f64) -> Step {
+fn measure_deposits(clients: usize, entries: &[SocketAddr], bare: f64) -> Step {
     let stop = Arc::new(AtomicBool::new(false));
     let done = Arc::new(AtomicUsize::new(0));
     let threads = (0..clients).map(|n| {
         let (stop, done) = (stop.clone(), done.clone());
         let entry = entries[n % entries.len()];
-        thread::spawn(move || deposit_all(clients, n, entry, &stop, &done))
+        thread::spawn(move || send_deposits(clients, n, entry, &stop, &done))
     });
     let threads: Vec<_> = threads.collect();
     thread::sleep(Duration::from_millis(500));
     let (start, before) = (Instant::now(), done.load(Ordering::SeqCst));
-    thread::sleep(SPAN);
+    thread::sleep(MEASURED_TIME);
     let rate = (done.load(Ordering::SeqCst) - before) as f64 / start.elapsed().as_secs_f64();
     stop.store(true, Ordering::SeqCst);
     let times = threads.into_iter().flat_map(|thread| thread.join().unwrap_or_default());
-    // Each deposit is a claim and a settlement.
+    // A deposit commits a claim and a settlement.
     Step::new(clients, 2.0 * rate, times.collect(), bare)
 }
 
-fn deposit_all(
+fn send_deposits(
     clients: usize,
     n: usize,
     entry: SocketAddr,
@@ -201,24 +210,25 @@
     times
 }
 
-/// Kills the leader and returns how long it takes until another leads.
-fn without_leader(fleet: &mut Fleet) -> anyhow::Result<f64> {
-    let patience = Duration::from_secs(30);
+/// Kills the leader and returns the seconds until another instance leads.
+fn measure_failover(fleet: &mut Fleet) -> anyhow::Result<f64> {
+    let timeout = Duration::from_secs(30);
     let mut leader = None;
-    wait_until(patience, || {
+    wait_until(timeout, || {
         leader = fleet.leader();
         leader.is_some()
     });
-    let leader = leader.ok_or_else(|| anyhow::anyhow!("nobody leads"))?;
+    let leader = leader.ok_or_else(|| anyhow::anyhow!("the record has no leader"))?;
     let start = Instant::now();
     fleet.kill(&leader);
-    let found = wait_until(patience, || fleet.leader().is_some_and(|l| l != leader));
-    anyhow::ensure!(found, "nobody takes the lead");
+    let found = wait_until(timeout, || fleet.leader().is_some_and(|l| l != leader));
+    anyhow::ensure!(found, "no other instance became leader within {timeout:?}");
     Ok(start.elapsed().as_secs_f64())
 }
 
-/// Clients of the record in this process, each with one change under way: a claim, then its
-/// release, and so on.
+/// Clients of the record in this process.
+///
+/// Each has one change in flight: a claim, then its release, and so on.
 struct RecordClients {
     peers: Peers,
     events: mpsc::Receiver<Event>,
@@ -228,35 +238,35 @@
 
 impl RecordClients {
     fn start(fleet: &Fleet) -> anyhow::Result<RecordClients> {
-        let leader = fleet.leader().ok_or_else(|| anyhow::anyhow!("nobody leads"))?;
+        let leader = fleet.leader().ok_or_else(|| anyhow::anyhow!("the record has no leader"))?;
         let text = std::fs::read_to_string(fleet.settings_path(CLIENT))?;
         let (tx, events) = mpsc::channel();
         let peers = Peers::start(PeerConfig::of(&Arc::new(Settings::parse(&text)?), tx))?;
         Ok(RecordClients { peers, events, leader: leader.as_str().into(), next: 1 })
     }
 
-    /// Returns what was measured, and how many changes were made in all.
+    /// Returns the measured step and the number of changes made.
     fn measure(&mut self, clients: usize, bare: f64) -> anyhow::Result<(Step, usize)> {
-        let mut under_way: BTreeMap<u64, (usize, bool, Instant)> = BTreeMap::new();
+        let mut in_flight: BTreeMap<u64, (usize, bool, Instant)> = BTreeMap::new();
         for client in 0..clients {
             let id = self.propose(client, false);
-            under_way.insert(id, (client, false, Instant::now()));
+            in_flight.insert(id, (client, false, Instant::now()));
         }
         let (start, mut times) = (Instant::now(), Vec::new());
-        while start.elapsed() < SPAN {
-            let (id, reply) = self.next_answer()?;
-            let Some((client, was_release, sent)) = under_way.remove(&id) else { continue };
+        while start.elapsed() < MEASURED_TIME {
+            let (id, reply) = self.next_reply()?;
+            let Some((client, is_release, sent)) = in_flight.remove(&id) else { continue };
             let is_made = matches!(reply, Reply::Claimed | Reply::Settled);
-            anyhow::ensure!(is_made, "the record answered {reply:?}");
+            anyhow::ensure!(is_made, "unexpected reply of the record: {reply:?}");
             times.push(sent.elapsed());
-            let id = self.propose(client, !was_release);
-            under_way.insert(id, (client, !was_release, Instant::now()));
+            let id = self.propose(client, !is_release);
+            in_flight.insert(id, (client, !is_release, Instant::now()));
         }
         let seconds = start.elapsed().as_secs_f64();
-        // What is under way ends before the next measurement begins.
-        while !under_way.is_empty() {
-            let (id, _) = self.next_answer()?;
-            under_way.remove(&id);
+        // Wait for the changes in flight, so that they do not count in the next measurement.
+        while !in_flight.is_empty() {
+            let (id, _) = self.next_reply()?;
+            in_flight.remove(&id);
         }
         let made = times.len();
         Ok((Step::new(clients, made as f64 / seconds, times, bare), made))
@@ -265,7 +275,7 @@
     fn propose(&mut self, client: usize, release: bool) -> u64 {
         let id = self.next;
         self.next += 1;
-        // A client's claims have one number, so that its release names the claim before.
+        // All claims of a client have the same ID, so that a release refers to the claim before it.
         let claim = ClaimId(u64::MAX, client as u64);
         let key = RequestKey {
             service: "orders".into(),
@@ -282,9 +292,9 @@
         id
     }
 
-    fn next_answer(&self) -> anyhow::Result<(u64, Reply)> {
+    fn next_reply(&self) -> anyhow::Result<(u64, Reply)> {
         loop {
-            let event = self.events.recv_timeout(ANSWER_PATIENCE)?;
+            let event = self.events.recv_timeout(REPLY_TIMEOUT)?;
             let Event::Input(Input::Received(_, Message::Record(message))) = event else {
                 continue;
             };
