--- a/crates/kingcup-load/src/report.rs
+++ b/crates/kingcup-load/src/report.rs
@@ -1,4 +1,4 @@
-//! Measures side by side, by policy and scenario, as bars in an SVG picture or an HTML page.
+//! Draws bar charts of results by policy and scenario, as an SVG image or an HTML page.
 
 use std::{fs, path::Path};
 
@@ -8,25 +8,25 @@
 
 /// The size of one chart, in pixels.
 const CHART: (u32, u32) = (460, 240);
-/// Charts beside each other.
+/// Charts per row.
 const COLUMNS: usize = 2;
-/// The height of the line that explains the colours.
+/// The height of the legend, in pixels.
 const LEGEND: u32 = 28;
 
-/// A measure: its field, its title, and whether less is better.
-const MEASURES: [(&str, &str); 6] = [
+/// The charts: the result's field and the title, which says which direction is better.
+const METRICS: [(&str, &str); 6] = [
     ("fairness_gap", "fairness gap (cost / share), less is better"),
-    ("utilisation", "utilisation while work waited, more is better"),
+    ("utilisation", "utilisation while requests waited, more is better"),
     ("first_token_ms_p95", "first token p95 (ms), less is better"),
     ("control_bytes_per_s_max", "control traffic of the busiest instance (bytes/s)"),
-    ("control_cpu_percent_max", "control state of the busiest instance (% of a core)"),
-    ("falls", "engines that fell over"),
+    ("control_cpu_percent_max", "control-plane CPU of the busiest instance (% of a core)"),
+    ("falls", "engine crashes"),
 ];
-/// Policies and their colours.
+/// The policies with their colours.
 const POLICIES: [(&str, RGBColor); 2] =
     [("pooled", RGBColor(31, 119, 180)), ("static", RGBColor(255, 127, 14))];
 
-/// Reads results, one JSON object a line, and writes the picture.
+/// Reads result files with one JSON object per line and writes the image or page.
 pub(crate) fn exec(results: &[std::path::PathBuf], out: &Path) -> anyhow::Result<bool> {
     let mut rows = Vec::new();
     for path in results {
@@ -35,10 +35,10 @@
             rows.push(serde_json::from_str(line).with_context(|| path.display().to_string())?);
         }
     }
-    ensure!(!rows.is_empty(), "expected at least one result");
-    let picture = draw(&rows)?;
+    ensure!(!rows.is_empty(), "the files contain no result");
+    let image = draw(&rows)?;
     let is_page = out.extension().is_some_and(|extension| extension == "html");
-    let text = if is_page { page(&picture, &rows) } else { picture };
+    let text = if is_page { page(&image, &rows) } else { image };
     fs::write(out, text).with_context(|| out.display().to_string())?;
     Ok(true)
 }
@@ -59,20 +59,22 @@
 }
 
 fn draw(rows: &[Value]) -> anyhow::Result<String> {
-    let mut picture = String::new();
-    let lines = MEASURES.len().div_ceil(COLUMNS);
-    let size = (CHART.0 * COLUMNS as u32, CHART.1 * lines as u32 + LEGEND);
+    let mut image = String::new();
+    let chart_rows = METRICS.len().div_ceil(COLUMNS);
+    let size = (CHART.0 * COLUMNS as u32, CHART.1 * chart_rows as u32 + LEGEND);
     {
-        let area = SVGBackend::with_string(&mut picture, size).into_drawing_area();
+        let area = SVGBackend::with_string(&mut image, size).into_drawing_area();
         area.fill(&WHITE)?;
         let (legend, charts) = area.split_vertically(LEGEND);
         draw_legend(&legend)?;
-        for (chart, (field, title)) in charts.split_evenly((lines, COLUMNS)).iter().zip(MEASURES) {
+        for (chart, (field, title)) in
+            charts.split_evenly((chart_rows, COLUMNS)).iter().zip(METRICS)
+        {
             draw_chart(chart, rows, field, title)?;
         }
         area.present()?;
     }
-    Ok(picture)
+    Ok(image)
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
@@ -91,9 +93,9 @@
     let values = scenarios.iter().flat_map(|scenario| {
         POLICIES.iter().filter_map(|(policy, _)| value(rows, scenario, policy, field))
     });
-    let highest = values.fold(0.0, f64::max);
-    // Where all is zero the axis still needs a span.
-    let top = if highest > 0.0 { highest * 1.15 } else { 1.0 };
+    let max = values.fold(0.0, f64::max);
+    // If all values are zero, the axis still needs a range.
+    let top = if max > 0.0 { max * 1.15 } else { 1.0 };
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 14))
         .margin(8)
@@ -117,13 +119,13 @@
         }
         let (x, y) = chart.backend_coord(&(n as f64 + 0.15, 0.0));
         let (left, upper) = area.get_base_pixel();
-        let place = (x - left, y - upper + 6);
-        area.draw(&Text::new(name(&(n as f64)), place, ("sans-serif", 10)))?;
+        let position = (x - left, y - upper + 6);
+        area.draw(&Text::new(name(&(n as f64)), position, ("sans-serif", 10)))?;
     }
     Ok(())
 }
 
-fn page(picture: &str, rows: &[Value]) -> String {
+fn page(image: &str, rows: &[Value]) -> String {
     let fields = [
         "scenario",
         "policy",
@@ -152,9 +154,9 @@
     });
     let body: String = body.collect();
     format!(
-        "<!doctype html><meta charset=\"utf-8\"><title>kingcupgrade measures</title>\n\
+        "<!doctype html><meta charset=\"utf-8\"><title>kingcupgrade results</title>\n\
          <style>body{{font-family:sans-serif}}td,th{{padding:2px 8px;text-align:right}}</style>\n\
-         <h1>Measures by scenario and policy</h1>\n{picture}\n<table><tr>{head}</tr>\n{body}</table>\n"
+         <h1>Results by scenario and policy</h1>\n{image}\n<table><tr>{head}</tr>\n{body}</table>\n"
     )
 }
 
