--- a/crates/kingcup-load/src/demo.rs
+++ b/crates/kingcup-load/src/demo.rs
@@ -33,5 +33,5 @@
     let result = experiment::run(Scenario::DomainOut, Policy::Pooled, seconds, &progress)?;
     println!();
     println!("{}", result.summary());
-    Ok(result.broken_promises().is_empty())
+    Ok(result.failed_checks().is_empty())
 }
--- a/crates/kingcup-load/src/main.rs
+++ b/crates/kingcup-load/src/main.rs
@@ -1,5 +1,5 @@
-//! The load and experiment tool: starts a local fleet of real processes with stand-ins, drives it,
-//! and reports what the stand-ins' own records say of it.
+//! The load-test tool: starts a local fleet of real processes with fake upstreams, runs experiments
+//! on it and evaluates the records of the fake upstreams.
 
 mod decisions;
 mod demo;
@@ -52,12 +52,12 @@
 
 fn run(args: &flags::Run) -> anyhow::Result<bool> {
     let scenario = Scenario::parse(&args.scenario).with_context(|| {
-        format!("no scenario {}; there are {}", args.scenario, Scenario::names())
+        format!("unknown scenario {}; expected one of {}", args.scenario, Scenario::names())
     })?;
     let policy = match args.policy.as_deref() {
         None | Some("pooled") => Policy::Pooled,
         Some("static") => Policy::Static,
-        Some(other) => anyhow::bail!("no policy {other}; there are pooled and static"),
+        Some(other) => anyhow::bail!("unknown policy {other}; expected pooled or static"),
     };
     let result = experiment::run(scenario, policy, args.seconds, &|line| {
         if !args.json {
@@ -69,5 +69,5 @@
     } else {
         println!("{}", result.summary());
     }
-    Ok(result.broken_promises().is_empty())
+    Ok(result.failed_checks().is_empty())
 }
