--- a/crates/kingcup-load/src/scenario.rs
+++ b/crates/kingcup-load/src/scenario.rs
@@ -1,11 +1,11 @@
-//! The scenarios and what each asks of the fleet.
+//! The scenarios of experiments and their load.
 
-/// How slots are shared.
+/// How the slots of upstreams are shared between entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Policy {
-    /// By dispatchers; the design.
+    /// By dispatchers, as designed.
     Pooled,
-    /// By a fixed assignment of upstreams to entries; the baseline.
+    /// By a fixed assignment of upstreams to entries, which is the baseline.
     Static,
 }
 
@@ -18,29 +18,29 @@
     }
 }
 
-/// What happens in an experiment.
+/// The load and the events of an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scenario {
-    /// Nobody calls: what the fleet costs by itself.
+    /// No requests, to measure the cost of the fleet itself.
     Idle,
-    /// A load below capacity, even over the entries.
+    /// A load below capacity, spread evenly over the entries.
     Steady,
-    /// More demand than capacity, each organisation at few entries.
+    /// More demand than capacity, each organisation at one entry.
     Skewed,
     /// A load below capacity, then one organisation floods one entry.
     Flood,
-    /// More demand than capacity at engines that are cold, some turning cold again.
+    /// More demand than capacity at cold engines, some of which lose their cache later.
     Cold,
-    /// A failure domain is taken out and back in.
+    /// A failure domain is taken out of service and back in.
     DomainOut,
-    /// An entry is killed and started again.
+    /// An entry is killed and restarted.
     EntryKill,
-    /// More demand than capacity, and the dispatchers of the failure domains are killed one after
-    /// the other.
+    /// More demand than capacity, while the dispatchers of the failure domains are killed one by
+    /// one.
     TakeOver,
     /// The engines of a failure domain are ordered to load another model.
     Order,
-    /// The record's leader is cut off while a document is applied, then joined again.
+    /// The record's leader is partitioned and reconnected; then a document is applied.
     ControlCut,
 }
 
@@ -81,12 +81,12 @@
         Scenario::ALL.into_iter().find(|scenario| scenario.name() == name)
     }
 
-    /// Tells whether engines are warm when measuring begins.
+    /// Returns whether engines are warm when the measurement begins.
     pub(crate) fn starts_warm(self) -> bool {
         self != Scenario::Cold
     }
 
-    /// Tells whether demand exceeds capacity.
+    /// Returns whether demand exceeds capacity.
     pub(crate) fn is_overloaded(self) -> bool {
         matches!(self, Scenario::Skewed | Scenario::Cold | Scenario::TakeOver)
     }
@@ -98,7 +98,7 @@
 pub(crate) const ENTRIES: usize = 3;
 /// Engines in each failure domain.
 pub(crate) const ENGINES: usize = 3;
-/// Organisations and their shares: a few large ones among sixteen.
+/// Organisations and their shares. Most shares are equal; a few are larger.
 pub(crate) const ORGANISATIONS: [(&str, u32); 16] = [
     ("org-00", 4),
     ("org-01", 4),
@@ -117,23 +117,23 @@
     ("org-14", 1),
     ("org-15", 1),
 ];
-/// The organisation that floods.
+/// The index of the organisation that floods an entry.
 pub(crate) const FLOODER: usize = 15;
 
 /// A group of callers of one organisation at one entry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Group {
-    /// The organisation's place in [`ORGANISATIONS`].
+    /// The organisation's index in [`ORGANISATIONS`].
     pub(crate) organisation: usize,
-    /// The entry's place among all entries.
+    /// The entry's index among all entries.
     pub(crate) entry: usize,
-    /// How many callers.
+    /// The number of callers.
     pub(crate) callers: usize,
-    /// How long each pauses after an answer, in milliseconds.
+    /// The pause of each caller after a response, in milliseconds.
     pub(crate) pause_ms: u64,
 }
 
-/// Returns the callers of a scenario.
+/// Returns the groups of callers of a scenario.
 pub(crate) fn groups(scenario: Scenario) -> Vec<Group> {
     if scenario == Scenario::Idle {
         return Vec::new();
@@ -142,8 +142,8 @@
     let mut groups = Vec::new();
     for (organisation, (_, share)) in ORGANISATIONS.iter().enumerate() {
         if scenario.is_overloaded() {
-            // All of an organisation at one entry, most organisations in the first domain; each
-            // has more callers than its share of the slots.
+            // Each organisation calls a single entry, in most cases in the first failure domain,
+            // with more callers than its share of the slots.
             let entry =
                 if organisation < 10 { organisation % ENTRIES } else { organisation % entries };
             let callers = 9 * *share as usize;
