--- a/crates/kingcup-load/src/slopes.rs
+++ b/crates/kingcup-load/src/slopes.rs
@@ -1,7 +1,7 @@
-//! What one instance of each role costs, measured on its state machines alone.
+//! Measures the cost of one instance of each role, on its state machines alone.
 //!
-//! Each machine is fed the messages of its part at growing sizes. The figures are slopes: what
-//! docs/CAPACITY.md multiplies by the size to design for.
+//! Each state machine gets the messages of its role at growing sizes. docs/CAPACITY.md multiplies
+//! the resulting slopes by the size of the target fleet.
 
 use std::{
     collections::BTreeMap, env, fs, hint::black_box, net::SocketAddr, process::Command,
@@ -35,26 +35,26 @@
 
 use crate::synthetic::{self, FLEET_KEY, SERVICES, names};
 
-/// Organisations of the smallest size; the others are four and sixteen times as many.
+/// Organisations at the smallest size; the other sizes are 4 and 16 times that.
 const BASE_ORGANISATIONS: usize = 306;
-/// Request keys of the smallest size.
+/// Request keys at the smallest size.
 const BASE_KEYS: usize = 4_000;
-/// Entries of a failure domain at the size to design for.
+/// Entries of a failure domain in the target fleet.
 const ENTRIES: usize = 32;
-/// Upstreams of a pool at that size.
+/// Upstreams of a pool in the target fleet.
 const UPSTREAMS: usize = 24;
 /// Slots of an upstream.
 const SLOTS: u32 = 8;
-/// Requests driven through a machine in one measurement.
+/// Requests that a state machine handles in one measurement.
 const REQUESTS: u64 = 20_000;
 
-/// What is measured.
+/// The parts that can be measured.
 const PARTS: [&str; 4] = ["entry", "dispatcher", "control", "instance"];
 
-/// Measures all parts at all sizes and prints one JSON object.
+/// Measures all parts at all sizes, prints one JSON object and returns true.
 ///
-/// Each measurement has a process of its own, since memory that an earlier one gave back would
-/// hide what the next one takes.
+/// Each measurement runs in its own process, since the allocator could reuse memory freed by an
+/// earlier measurement, which would hide the memory use of the next one.
 pub(crate) fn exec() -> anyhow::Result<bool> {
     let mut result = serde_json::Map::new();
     for part in PARTS {
@@ -70,20 +70,20 @@
     Ok(true)
 }
 
-/// Measures one part at one size and prints one JSON object.
+/// Measures one part at one size, prints one JSON object and returns true.
 pub(crate) fn exec_one(part: &str, factor: usize) -> anyhow::Result<bool> {
     let result = match part {
-        "entry" => entry(60 * factor),
-        "dispatcher" => dispatcher(BASE_ORGANISATIONS * factor),
-        "control" => record(BASE_KEYS * factor),
-        "instance" => instance(BASE_ORGANISATIONS * factor),
-        other => anyhow::bail!("no part {other}; there are {}", PARTS.join(", ")),
+        "entry" => measure_entry(60 * factor),
+        "dispatcher" => measure_dispatcher(BASE_ORGANISATIONS * factor),
+        "control" => measure_record(BASE_KEYS * factor),
+        "instance" => measure_node(BASE_ORGANISATIONS * factor),
+        other => anyhow::bail!("unknown part {other}; expected one of {}", PARTS.join(", ")),
     };
     println!("{result}");
     Ok(true)
 }
 
-fn tutor(names: &[String]) -> Document {
+fn tutor_document(names: &[String]) -> Document {
     let organisations: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 1)).collect();
     let rest = format!("slots: {{cold: 2, warm: {SLOTS}}}\nlimits: {{queue_requests: 1000}}\n");
     let text = document("tutor", "model-engine", &organisations, &rest);
@@ -99,7 +99,7 @@
 }
 
 /// Returns the resident memory of this process, in bytes.
-fn resident() -> u64 {
+fn resident_memory() -> u64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
     pages.unwrap_or(0) * 4_096
@@ -121,17 +121,17 @@
     listed.collect()
 }
 
-/// A dispatcher with a tenth of its organisations backlogged: the cost of a request's grant and
-/// end, of a tick, of an exchange, and its memory.
-fn dispatcher(organisations: usize) -> Value {
+/// Measures a dispatcher of which every tenth organisation is backlogged: the time of a request's
+/// grant and end and of a tick, the size of an exchange, and its memory.
+fn measure_dispatcher(organisations: usize) -> Value {
     let names = names(organisations);
-    let before = resident();
+    let before = resident_memory();
     let own: Instance = "entry-00".into();
     let entries: Vec<Instance> =
         (0..ENTRIES).map(|n| Instance::from(format!("entry-{n:02}").as_str())).collect();
-    let mut machine =
-        Dispatcher::new(Millis(0), pool(), own.clone(), 1, tutor(&names), entries.clone());
-    machine.set_domains(entries.iter().map(|i| (i.clone(), "north".into())));
+    let mut dispatcher =
+        Dispatcher::new(Millis(0), pool(), own.clone(), 1, tutor_document(&names), entries.clone());
+    dispatcher.set_domains(entries.iter().map(|i| (i.clone(), "north".into())));
     let mut out = Vec::new();
     let backlogged: Vec<Organisation> =
         names.iter().step_by(10).map(|name| Organisation::from(name.as_str())).collect();
@@ -140,16 +140,16 @@
         let mine = backlogged.iter().skip(n % 4).step_by(4);
         let waiting = mine.map(|o| Waiting(o.clone(), 1_000_000)).collect();
         let body = DispatchBody::Open { session: Session(1, 1), waiting, held: Vec::new() };
-        machine.on_message(now, entry, 1, &body, &mut out);
+        dispatcher.on_message(now, entry, 1, &body, &mut out);
     }
-    machine.on_listing(now, &listing(), &mut out);
-    let memory = resident().saturating_sub(before);
+    dispatcher.on_listing(now, &listing(), &mut out);
+    let memory = resident_memory().saturating_sub(before);
 
     let mut grants = Vec::new();
     let mut seqs: BTreeMap<Instance, (u64, u64)> = BTreeMap::new();
     let (mut messages, mut bytes, mut ended) = (0, 0, 0);
     let start = Instant::now();
-    let mut idle = Instant::now().elapsed();
+    let mut excluded = Instant::now().elapsed();
     while ended < REQUESTS {
         for output in out.drain(..) {
             let DispatcherOutput::Send(entry, message) = output else { continue };
@@ -157,16 +157,16 @@
                 seqs.entry(entry.clone()).or_default().1 += new.len() as u64;
                 grants.extend(new.iter().map(|grant| (entry.clone(), grant.id)));
             }
-            // The length is worked out outside the measured time.
-            let pause = Instant::now();
+            // Encoding messages does not count as time of the dispatcher.
+            let excluded_start = Instant::now();
             messages += 1;
             bytes += wire_len(message);
-            idle += pause.elapsed();
+            excluded += excluded_start.elapsed();
         }
         now = now + Millis(1);
         let Some((entry, id)) = grants.pop() else {
-            machine.on_listing(now, &listing(), &mut out);
-            machine.tick(now, &mut out);
+            dispatcher.on_listing(now, &listing(), &mut out);
+            dispatcher.tick(now, &mut out);
             continue;
         };
         let (seq, received) = seqs.entry(entry.clone()).or_default();
@@ -184,15 +184,15 @@
             }],
             progress: Vec::new(),
         };
-        machine.on_message(now, &entry, 1, &body, &mut out);
+        dispatcher.on_message(now, &entry, 1, &body, &mut out);
         ended += 1;
     }
-    let per_request = (start.elapsed() - idle).as_secs_f64() * 1e6 / ended as f64;
+    let per_request = (start.elapsed() - excluded).as_secs_f64() * 1e6 / ended as f64;
     out.clear();
     let start = Instant::now();
     for _ in 0..200 {
         now = now + Millis(10);
-        machine.tick(now, &mut out);
+        dispatcher.tick(now, &mut out);
     }
     let per_tick = start.elapsed().as_secs_f64() * 1e6 / 200.0;
     let exchanges: Vec<usize> = out
@@ -216,23 +216,23 @@
     })
 }
 
-/// An entry with `open` requests under way: the cost of a request from arrival to end, the bytes
-/// it sends, and the memory of an open request.
-fn entry(open: usize) -> Value {
+/// Measures an entry with `open` requests in flight: the time of a request from arrival to end, the
+/// bytes that it sends, and its memory.
+fn measure_entry(open: usize) -> Value {
     let names = names(BASE_ORGANISATIONS);
-    let document = tutor(&names);
+    let document = tutor_document(&names);
     let view = View::default();
     let holder: Instance = "entry-01".into();
-    let mut machine = EntryMachine::new("north".into(), 1);
+    let mut entry_machine = EntryMachine::new("north".into(), 1);
     let mut out = Vec::new();
     let mut now = Millis(1_000);
-    machine.ensure_session(now, pool(), &holder, 1, None, &mut out);
+    entry_machine.ensure_session(now, pool(), &holder, 1, None, &mut out);
     let session = Session(1, 1).tag();
-    let before = resident();
+    let before = resident_memory();
     let (mut next, mut bytes, mut messages) = (1_u64, 0, 0);
-    let mut running = std::collections::VecDeque::new();
+    let mut open_requests = std::collections::VecDeque::new();
     let mut heard = 0;
-    let mut idle = std::time::Duration::ZERO;
+    let mut excluded = std::time::Duration::ZERO;
     let mut start = Instant::now();
     let mut measured_from = 0;
     while next < REQUESTS {
@@ -246,39 +246,46 @@
             idempotent: true,
             needs_claim: false,
         };
-        machine.admit(now, arrival, &document, &mut out);
+        entry_machine.admit(now, arrival, &document, &mut out);
         let id = GrantId(1, next);
         let grant = Grant { id, organisation, upstream: "engine-01".into(), address: address() };
         let body = DispatchBody::Grants { session, heard, grants: vec![grant] };
         let message = DispatchMessage { pool: pool(), term: 1, origin: None, body };
-        machine.on_message(now, &view, &holder, &message, &mut out);
-        running.push_back(next);
-        if running.len() > open {
-            let ended = running.pop_front().unwrap_or_default();
-            machine.on_attempt_end(now, ended, AttemptEnd::Completed, 300, Some(400), &mut out);
+        entry_machine.on_message(now, &view, &holder, &message, &mut out);
+        open_requests.push_back(next);
+        if open_requests.len() > open {
+            let ended = open_requests.pop_front().unwrap_or_default();
+            entry_machine.on_attempt_end(
+                now,
+                ended,
+                AttemptEnd::Completed,
+                300,
+                Some(400),
+                &mut out,
+            );
         }
-        machine.report(now, &mut out);
+        entry_machine.report(now, &mut out);
         for output in out.drain(..) {
             let EntryOutput::Send(_, message) = output else { continue };
             if let DispatchBody::Report { seq, .. } = &message.body {
                 heard = *seq;
             }
-            let pause = Instant::now();
+            let excluded_start = Instant::now();
             messages += 1;
             bytes += wire_len(message);
-            idle += pause.elapsed();
+            excluded += excluded_start.elapsed();
         }
         next += 1;
         if next as usize == open + 100 {
-            // From here on as many end as arrive.
-            (start, idle) = (Instant::now(), std::time::Duration::ZERO);
+            // The number of open requests is constant from here on.
+            (start, excluded) = (Instant::now(), std::time::Duration::ZERO);
             (bytes, messages, measured_from) = (0, 0, next);
         }
     }
     let count = (next - measured_from) as f64;
-    let per_request = (start.elapsed() - idle).as_secs_f64() * 1e6 / count;
-    let memory = resident().saturating_sub(before);
-    black_box(&machine);
+    let per_request = (start.elapsed() - excluded).as_secs_f64() * 1e6 / count;
+    let memory = resident_memory().saturating_sub(before);
+    black_box(&entry_machine);
     json!({
         "open_requests": open,
         "us_per_request": per_request,
@@ -288,9 +295,10 @@
     })
 }
 
-/// The record with `keys` request keys: the cost of a command, memory, snapshot and recovery.
-fn record(keys: usize) -> Value {
-    let before = resident();
+/// Measures the record with `keys` request keys: the time of a command, memory, snapshot and
+/// recovery.
+fn measure_record(keys: usize) -> Value {
+    let before = resident_memory();
     let mut record = Record::default();
     let mut index = 0;
     let mut log_bytes = 0;
@@ -322,7 +330,7 @@
         }
     }
     let per_command = start.elapsed().as_secs_f64() * 1e6 / index as f64;
-    let memory = resident().saturating_sub(before);
+    let memory = resident_memory().saturating_sub(before);
     let start = Instant::now();
     let data = record.encode();
     let snapshot_ms = start.elapsed().as_secs_f64() * 1e3;
@@ -340,13 +348,15 @@
     })
 }
 
-/// A whole idle entry among 410 with 38 services of `organisations` in all: the cost of a tick, a
-/// hundred of which pass each second, and the memory of its configuration.
-fn instance(organisations: usize) -> Value {
+/// Measures the node of an idle entry of 410 instances: the time of a tick, of which there are a
+/// hundred per second, and the memory of its configuration.
+///
+/// There are 38 services, which have `organisations` organisations in total.
+fn measure_node(organisations: usize) -> Value {
     const NODES: usize = 410;
     let peers = synthetic::peers("entry", NODES, Role::Entry, address());
     let settings = synthetic::settings(peers, address());
-    let before = resident();
+    let before = resident_memory();
     let mut node = Node::new(Millis(0), settings, 1, 1, None);
     let members = organisations / SERVICES + 1;
     let documents = synthetic::documents(members, "slots: {cold: 2, warm: 8}\n");
@@ -366,7 +376,7 @@
     let input = Input::Received("entry-001".into(), Message::Record(state));
     node.handle(Millis(1), 1, input, &mut out);
     let configuration_ms = start.elapsed().as_secs_f64() * 1e3;
-    let memory = resident().saturating_sub(before);
+    let memory = resident_memory().saturating_sub(before);
     out.clear();
     let start = Instant::now();
     for n in 0..500 {
