--- a/crates/kingcup-load/src/synthetic.rs
+++ b/crates/kingcup-load/src/synthetic.rs
@@ -1,4 +1,4 @@
-//! What state machines are fed that run without a fleet: settings and documents of a given size.
+//! Generates settings and documents of a given size for state machines that run without a fleet.
 
 use std::net::SocketAddr;
 
@@ -11,19 +11,19 @@
     protocol::record::StoredDocument,
 };
 
-/// The key of fleets that are not run.
+/// The fleet key in generated settings.
 pub(crate) const FLEET_KEY: &str = "a fleet key of some length";
-/// Failure domains at the size to design for.
+/// Failure domains of the target fleet.
 pub(crate) const DOMAINS: usize = 13;
-/// Services at that size.
+/// Services of the target fleet.
 pub(crate) const SERVICES: usize = 38;
 
-/// Returns the names of so many organisations.
+/// Returns the names of `count` organisations.
 pub(crate) fn names(count: usize) -> Vec<String> {
     (0..count).map(|n| format!("organisation-{n:05}")).collect()
 }
 
-/// Returns so many instances of a role, spread over the failure domains.
+/// Returns `count` instances of a role, spread over the failure domains.
 pub(crate) fn peers(
     prefix: &str,
     count: usize,
@@ -38,7 +38,7 @@
     })
 }
 
-/// Returns the settings of the first of `peers`.
+/// Returns the settings of instance `entry-000`, the first of `peers`.
 pub(crate) fn settings(peers: impl Iterator<Item = Peer>, address: SocketAddr) -> Settings {
     Settings {
         instance: "entry-000".into(),
@@ -53,13 +53,13 @@
     }
 }
 
-/// Returns the documents of all services, each with so many organisations.
-pub(crate) fn documents(members: usize, rest: &str) -> Vec<StoredDocument> {
-    let names = names(members);
-    let members: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 1)).collect();
+/// Returns the documents of all services, each with `organisations` organisations.
+pub(crate) fn documents(organisations: usize, rest: &str) -> Vec<StoredDocument> {
+    let names = names(organisations);
+    let organisations: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 1)).collect();
     let documents = (0..SERVICES).map(|n| {
         let service = format!("service-{n:02}");
-        let text = document(&service, "model-engine", &members, rest);
+        let text = document(&service, "model-engine", &organisations, rest);
         StoredDocument { service: service.as_str().into(), revision: 1, index: n as u64 + 1, text }
     });
     documents.collect()
