--- a/crates/kingcup-load/src/experiment.rs
+++ b/crates/kingcup-load/src/experiment.rs
@@ -16,31 +16,31 @@
     measure::{Window, fairness_gap, first_token_p95, utilisation},
     result::ExperimentResult,
     scenario::{DOMAINS, ENGINES, FLOODER, Group, ORGANISATIONS, Policy, Scenario, groups},
-    world::{RUN_UP, TOKEN_TIME, WARM_SLOTS, World, tutor_document},
+    world::{TOKEN_TIME, WARM_SLOTS, WARM_UP, World, tutor_document},
 };
 
-/// How long to measure if nothing else is asked.
+/// The default duration of the measurement.
 const DEFAULT_SECONDS: u64 = 12;
-/// How many times an organisation's usual callers a flood has.
+/// The callers of the flood: 80 times those that the organisation has at an entry otherwise.
 const FLOOD_CALLERS: usize = 80;
 /// Organisations that make deposits.
 const DEPOSITORS: usize = 4;
-/// The longest that service elsewhere stays unknown to a dispatcher: an exchange that was lost,
-/// and the next one.
+/// The longest time until a dispatcher learns what other failure domains have served: two exchange
+/// intervals, since one exchange can be lost.
 const EXCHANGE_LAG: Duration = Duration::from_millis(2_000);
-/// How long engines may take to be as ordered.
-const ORDER_PATIENCE: Duration = Duration::from_secs(20);
-/// The failure domain that is taken out.
-const TAKEN_OUT: &str = DOMAINS[2];
+/// The timeout for the engines to apply their orders.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(20);
+/// The failure domain that is taken out of service, or whose engines are given orders.
+const TARGET_DOMAIN: &str = DOMAINS[2];
 
-/// Runs an experiment; `progress` is told how it goes.
+/// Runs an experiment; `progress` is called with each progress message.
 pub(crate) fn run(
     scenario: Scenario,
     policy: Policy,
     seconds: Option<u64>,
     progress: &dyn Fn(&str),
 ) -> anyhow::Result<ExperimentResult> {
-    progress("starting 9 entries, 3 control instances and their stand-ins");
+    progress("starting 9 entries, 3 control instances and the fake upstreams");
     let mut world = World::start(scenario, policy)?;
     let entries: Vec<SocketAddr> =
         world.fleet.entries().iter().map(|(instance, _)| world.fleet.entry(instance)).collect();
@@ -52,9 +52,9 @@
     for organisation in 0..depositors {
         load.add_depositor(organisation, &entries);
     }
-    progress("callers have begun");
+    progress("callers have started");
     if scenario.starts_warm() {
-        thread::sleep(RUN_UP);
+        thread::sleep(WARM_UP);
     }
     let seconds = Duration::from_secs(seconds.unwrap_or(DEFAULT_SECONDS));
     let from = Instant::now();
@@ -67,11 +67,11 @@
         ..ExperimentResult::default()
     };
     let events = Events { world: &mut world, load: &mut load, entries: &entries, progress };
-    let changed = events.play(scenario, seconds, &mut result)?;
+    let changed = events.run(scenario, seconds, &mut result)?;
     let until = Instant::now();
     let control_after = control_bytes(&world);
     let usage_after = usages(&world);
-    progress("callers finish");
+    progress("waiting for callers to finish");
     load.finish();
     let window = Window { from, until };
     result.seconds = (until - from).as_secs_f64();
@@ -79,7 +79,7 @@
     let rates = pairs.map(|(before, after)| (after - before).max(0.0) / result.seconds);
     result.control_bytes_per_s_max = rates.fold(0.0, f64::max);
     for (instance, after) in &usage_after {
-        // An instance started meanwhile counts from zero.
+        // An instance that was not running before counts from zero.
         let before = usage_before.get(instance).map_or(0.0, |usage| usage.control_seconds);
         let percent = (after.control_seconds - before).max(0.0) / result.seconds * 100.0;
         result.control_cpu_percent_max = result.control_cpu_percent_max.max(percent);
@@ -89,7 +89,7 @@
     Ok(result)
 }
 
-/// What happens while measuring.
+/// Runs the events of a scenario during the measurement.
 struct Events<'a> {
     world: &'a mut World,
     load: &'a mut Load,
@@ -98,55 +98,55 @@
 }
 
 impl Events<'_> {
-    /// Plays the scenario over `span`; returns when the change of the scenario began.
-    fn play(
+    /// Runs the scenario for `span`; returns when its fault or change began, after a third of it.
+    fn run(
         mut self,
         scenario: Scenario,
         span: Duration,
         result: &mut ExperimentResult,
     ) -> anyhow::Result<Instant> {
         let third = span / 3;
-        self.watch(third);
+        self.wait(third);
         let changed = Instant::now();
         match scenario {
             Scenario::Steady => {
                 self.apply(result)?;
-                self.watch(third * 2);
+                self.wait(third * 2);
             }
-            Scenario::Idle | Scenario::Skewed => self.watch(third * 2),
+            Scenario::Idle | Scenario::Skewed => self.wait(third * 2),
             Scenario::Flood => {
-                (self.progress)("one organisation floods one entry");
+                (self.progress)("flooding an entry with requests of one organisation");
                 let flood =
                     Group { organisation: FLOODER, entry: 0, callers: FLOOD_CALLERS, pause_ms: 0 };
                 self.load.add_group(flood, self.entries);
-                self.watch(third * 2);
+                self.wait(third * 2);
             }
             Scenario::Cold => {
-                (self.progress)("three engines turn cold without notice");
+                (self.progress)("making three engines cold without notice");
                 self.world.engines.iter().step_by(ENGINES).for_each(|(_, e)| e.turn_cold());
-                self.watch(third * 2);
+                self.wait(third * 2);
             }
             Scenario::DomainOut => self.take_domain_out(third, result)?,
             Scenario::EntryKill => {
                 (self.progress)("killing an entry");
                 self.world.fleet.kill("entry-north-0");
-                self.watch(third);
-                (self.progress)("starting it again");
+                self.wait(third);
+                (self.progress)("restarting the entry");
                 self.world.fleet.run("entry-north-0")?;
-                self.watch(third);
+                self.wait(third);
             }
             Scenario::TakeOver => self.kill_dispatchers(third * 2)?,
             Scenario::Order => self.order_engines(third * 2, result)?,
             Scenario::ControlCut => {
                 let leader =
                     self.world.fleet.leader().unwrap_or_else(|| "control-north".to_owned());
-                (self.progress)(&format!("cutting off {leader}, the record's leader"));
+                (self.progress)(&format!("partitioning {leader}, the leader of the record"));
                 self.world.fleet.isolate(&leader, true);
-                self.watch(third);
-                (self.progress)("joining it again");
+                self.wait(third);
+                (self.progress)("reconnecting it");
                 self.world.fleet.isolate(&leader, false);
                 self.apply(result)?;
-                self.watch(third);
+                self.wait(third);
             }
         }
         Ok(changed)
@@ -164,67 +164,68 @@
         third: Duration,
         result: &mut ExperimentResult,
     ) -> anyhow::Result<()> {
-        (self.progress)(&format!("taking {TAKEN_OUT} out"));
+        (self.progress)(&format!("taking {TARGET_DOMAIN} out of service"));
         let ordered = Instant::now();
-        self.world.fleet.set_domain(TAKEN_OUT, true)?;
+        self.world.fleet.set_domain(TARGET_DOMAIN, true)?;
         result.config_in_force_s = Some(ordered.elapsed().as_secs_f64());
-        self.watch(third);
-        let last = self.world.engines.iter().filter(|(domain, _)| domain == TAKEN_OUT);
+        self.wait(third);
+        let last = self.world.engines.iter().filter(|(domain, _)| domain == TARGET_DOMAIN);
         let begun = last.flat_map(|(_, engine)| engine.record().begun);
         let after = begun.map(|(_, at)| at).filter(|at| *at > ordered).max();
         result.takeout_s = Some(after.map_or(0.0, |at| (at - ordered).as_secs_f64()));
-        (self.progress)(&format!("taking {TAKEN_OUT} back in"));
-        self.world.fleet.set_domain(TAKEN_OUT, false)?;
-        self.watch(third);
+        (self.progress)(&format!("taking {TARGET_DOMAIN} back into service"));
+        self.world.fleet.set_domain(TARGET_DOMAIN, false)?;
+        self.wait(third);
         Ok(())
     }
 
-    /// Kills the dispatcher of each failure domain in turn and starts its entry again.
+    /// Kills the dispatching entry of each failure domain in turn and restarts it.
     fn kill_dispatchers(&mut self, span: Duration) -> anyhow::Result<()> {
         for domain in DOMAINS {
             let dispatcher = self.world.fleet.dispatcher_of("tutor", domain);
             let dispatcher = dispatcher.context("a failure domain has no dispatcher")?;
-            (self.progress)(&format!("killing {dispatcher}, which dispatches in {domain}"));
+            (self.progress)(&format!("killing {dispatcher}, the dispatcher of {domain}"));
             self.world.fleet.kill(&dispatcher);
-            self.watch(span / 6);
+            self.wait(span / 6);
             self.world.fleet.run(&dispatcher)?;
-            self.watch(span / 6);
+            self.wait(span / 6);
         }
         Ok(())
     }
 
-    /// Orders the engines of one failure domain to load a model; they take turns.
+    /// Orders the engines of one failure domain to load another model, which they do one by one.
     fn order_engines(
         &mut self,
         span: Duration,
         result: &mut ExperimentResult,
     ) -> anyhow::Result<()> {
         let start = Instant::now();
-        let names: Vec<String> = (0..ENGINES).map(|n| format!("engine-{TAKEN_OUT}-{n}")).collect();
+        let names: Vec<String> =
+            (0..ENGINES).map(|n| format!("engine-{TARGET_DOMAIN}-{n}")).collect();
         for name in &names {
             self.world.fleet.order(name, SetupChange::Load("second".to_owned()))?;
         }
         result.config_in_force_s = Some(start.elapsed().as_secs_f64());
-        (self.progress)(&format!("ordered the engines of {TAKEN_OUT} to load another model"));
+        (self.progress)(&format!("ordered the engines of {TARGET_DOMAIN} to load another model"));
         let entries = self.world.fleet.entries();
         let entries: Vec<String> = entries.into_iter().map(|(instance, _)| instance).collect();
-        let is_settled = |name: &String| {
+        let is_applied = |name: &String| {
             let stage = self.world.fleet.order_stage(&entries, name);
             stage.is_some_and(|(_, stage)| stage == "as ordered")
         };
-        if wait_until(ORDER_PATIENCE, || names.iter().all(is_settled)) {
+        if wait_until(ORDER_TIMEOUT, || names.iter().all(is_applied)) {
             result.order_s = Some(start.elapsed().as_secs_f64());
         }
-        self.watch(span.saturating_sub(start.elapsed()));
+        self.wait(span.saturating_sub(start.elapsed()));
         Ok(())
     }
 
-    /// Lets time pass and tells of the progress.
-    fn watch(&self, span: Duration) {
+    /// Waits for `span` and reports progress every second.
+    fn wait(&self, span: Duration) {
         let start = Instant::now();
         while start.elapsed() < span {
             thread::sleep(Duration::from_millis(1_000).min(span));
-            let done = self.load.log().asked.lock().expect("the log").len();
+            let done = self.load.log().asked.lock().expect("request log").len();
             let running: u32 = self.world.engines.iter().map(|(_, e)| e.running()).sum();
             let slots = self.world.engines.len() as u32 * WARM_SLOTS;
             (self.progress)(&format!("{done} requests answered, {running} of {slots} slots busy"));
@@ -240,8 +241,8 @@
     changed: Instant,
     result: &mut ExperimentResult,
 ) {
-    let asked = load.log().asked.lock().expect("the log");
-    let deposits = load.log().deposits.lock().expect("the log");
+    let asked = load.log().asked.lock().expect("request log");
+    let deposits = load.log().deposits.lock().expect("request log");
     let records: Vec<EngineRecord> = world.engines.iter().map(|(_, e)| e.record()).collect();
     let ends = asked.iter().map(|r| r.end).chain(deposits.iter().map(|d| d.end));
     let ends: Vec<End> = ends.collect();
@@ -272,11 +273,12 @@
     }
 }
 
-/// Returns the bound on the fairness gap as docs/DESIGN.md derives it.
+/// Returns the bound on the fairness gap, as derived in docs/DESIGN.md.
 ///
-/// With D slots in all, costs up to C and shares of at least W: (D + 1) requests of either side
-/// may be under way beyond what the counters say, and for the lag of the exchange each of the
-/// other failure domains may serve one side alone.
+/// Let D be the number of slots, C the maximum cost of a request and W the smallest share. Each of
+/// the two organisations can have up to (D + 1) requests of cost C in flight that the counters do
+/// not include yet. For the lag of the exchange, each other failure domain can serve only one of
+/// them.
 fn fairness_bound() -> f64 {
     let slots = (DOMAINS.len() * ENGINES) as f64 * f64::from(WARM_SLOTS);
     let shares = ORGANISATIONS.iter().map(|(_, share)| f64::from(*share));
@@ -292,7 +294,7 @@
     instances.filter_map(|(i, _)| world.fleet.usage(&i).map(|usage| (i, usage))).collect()
 }
 
-/// Returns the bytes each instance has sent to others.
+/// Returns the bytes that each instance has sent to its peers.
 fn control_bytes(world: &World) -> Vec<f64> {
     let instances = world.fleet.entries().into_iter().chain(world.fleet.controls());
     let bytes = instances.map(|(instance, _)| {
--- a/crates/kingcup-load/src/world.rs
+++ b/crates/kingcup-load/src/world.rs
@@ -1,4 +1,4 @@
-//! The world of an experiment: stand-ins and a fleet.
+//! The environment of an experiment: a fleet, its fake upstreams and a fake platform.
 
 use std::{env, thread, time::Duration};
 
@@ -11,19 +11,20 @@
 
 use crate::scenario::{DOMAINS, ENGINES, ENTRIES, ORGANISATIONS, Policy, Scenario};
 
-/// An engine's slots while cold.
+/// The slots of a cold engine.
 pub(crate) const COLD_SLOTS: u32 = 2;
-/// An engine's slots once warm.
+/// The slots of a warm engine.
 pub(crate) const WARM_SLOTS: u32 = 6;
-/// The time to an engine's first token.
+/// The time to the first token of an engine.
 pub(crate) const PREFILL_TIME: Duration = Duration::from_millis(150);
-/// The time between an engine's tokens.
+/// The time between tokens of an engine.
 pub(crate) const TOKEN_TIME: Duration = Duration::from_millis(10);
-/// How long organisations call before measuring begins.
-pub(crate) const RUN_UP: Duration = Duration::from_secs(4);
-/// For reports and the platform's list to catch up with warmed engines.
-const WARM_PAUSE: Duration = Duration::from_millis(1_200);
+/// How long callers send requests before the measurement begins.
+pub(crate) const WARM_UP: Duration = Duration::from_secs(4);
+/// The time until load reports and the platform's list show that engines are warm.
+const REPORT_DELAY: Duration = Duration::from_millis(1_200);
 
+/// A running fleet with its fake upstreams. Engines are paired with their failure domain.
 pub(crate) struct World {
     pub(crate) engines: Vec<(String, Engine)>,
     pub(crate) plains: Vec<Plain>,
@@ -31,7 +32,7 @@
 }
 
 impl World {
-    /// Starts everything and puts the documents in force.
+    /// Starts the upstreams and the fleet, and applies the documents of both services.
     pub(crate) fn start(scenario: Scenario, policy: Policy) -> anyhow::Result<World> {
         let platform = Platform::start(Duration::from_millis(300));
         let config = EngineConfig {
@@ -59,7 +60,7 @@
         }
         if scenario.starts_warm() {
             engines.iter().for_each(|(_, engine)| engine.warm_up());
-            thread::sleep(WARM_PAUSE);
+            thread::sleep(REPORT_DELAY);
         }
         let fleet = start_fleet(&platform, policy)?;
         Ok(World { engines, plains, fleet })
@@ -86,7 +87,7 @@
     Ok(fleet)
 }
 
-/// The engines' document; `version` makes two of them differ.
+/// Returns the document of the engines' service; documents of different versions differ.
 pub(crate) fn tutor_document(version: u64) -> String {
     let rest = format!(
         "models: [tutor-{version}]\nslots: {{cold: {COLD_SLOTS}, warm: {WARM_SLOTS}}}\n\
