--- a/examples/dispatcher.rs
+++ b/examples/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Embeds a dispatcher: two organisations with shares 1 and 3 wait for one upstream.
+//! Embeds a dispatcher: two organisations with shares 1 and 3 compete for the slot of one upstream.
 
 use kingcupgrade::{
     coordination::dispatcher::{
@@ -25,14 +25,14 @@
     let entry = Instance::from("entry-0");
     let pool = Pool("tutor".into(), "north".into());
     let document = Document::parse(DOCUMENT)?;
-    let mut machine = Dispatcher::new(Millis(0), pool, entry.clone(), 1, document, Vec::new());
+    let mut dispatcher = Dispatcher::new(Millis(0), pool, entry.clone(), 1, document, Vec::new());
     let mut out = Vec::new();
 
     let session = Session(1, 1);
     let waiting = vec![Waiting("alder".into(), 8), Waiting("birch".into(), 8)];
     let open = DispatchBody::Open { session, waiting, held: Vec::new() };
     let mut now = Millis(1_000);
-    machine.on_message(now, &entry, 1, &open, &mut out);
+    dispatcher.on_message(now, &entry, 1, &open, &mut out);
     let listed = Listed {
         upstream: "engine-0".into(),
         address: "127.0.0.1:9000".parse()?,
@@ -40,10 +40,10 @@
         incarnation: 1,
         report: Some(LoadReport { running: 0, warm: true, age_ms: 0 }),
     };
-    machine.on_listing(now, &[listed], &mut out);
+    dispatcher.on_listing(now, &[listed], &mut out);
 
     for seq in 1..=8 {
-        let Some(grant) = granted(&mut out) else { break };
+        let Some(grant) = take_grant(&mut out) else { break };
         println!("slot {seq} goes to {}", grant.organisation);
         now = now + Millis(100);
         let done =
@@ -56,13 +56,13 @@
             finished: vec![done],
             progress: Vec::new(),
         };
-        machine.on_message(now, &entry, 1, &report, &mut out);
+        dispatcher.on_message(now, &entry, 1, &report, &mut out);
     }
     Ok(())
 }
 
-/// Takes the next grant out of the dispatcher's outputs.
-fn granted(out: &mut Vec<DispatcherOutput>) -> Option<kingcupgrade::protocol::dispatch::Grant> {
+/// Drains the outputs and returns the first grant among them.
+fn take_grant(out: &mut Vec<DispatcherOutput>) -> Option<kingcupgrade::protocol::dispatch::Grant> {
     let grants = out.drain(..).filter_map(|output| match output {
         DispatcherOutput::Send(_, message) => match message.body {
             DispatchBody::Grants { grants, .. } => Some(grants),
