--- a/crates/kingcup-load/src/world.rs
+++ b/crates/kingcup-load/src/environment.rs
@@ -25,15 +25,15 @@
 const REPORT_DELAY: Duration = Duration::from_millis(1_200);
 
 /// A running fleet with its fake upstreams. Engines are paired with their failure domain.
-pub(crate) struct World {
+pub(crate) struct Environment {
     pub(crate) engines: Vec<(String, Engine)>,
-    pub(crate) plains: Vec<Plain>,
+    pub(crate) plain_services: Vec<Plain>,
     pub(crate) fleet: Fleet,
 }
 
-impl World {
+impl Environment {
     /// Starts the upstreams and the fleet, and applies the documents of both services.
-    pub(crate) fn start(scenario: Scenario, policy: Policy) -> anyhow::Result<World> {
+    pub(crate) fn start(scenario: Scenario, policy: Policy) -> anyhow::Result<Environment> {
         let platform = Platform::start(Duration::from_millis(300));
         let config = EngineConfig {
             cold_slots: COLD_SLOTS,
@@ -44,7 +44,7 @@
             report_lag: Duration::from_millis(400),
             ..EngineConfig::default()
         };
-        let (mut engines, mut plains) = (Vec::new(), Vec::new());
+        let (mut engines, mut plain_services) = (Vec::new(), Vec::new());
         for domain in DOMAINS {
             for n in 0..ENGINES {
                 let engine = Engine::start(config.clone());
@@ -56,14 +56,14 @@
             let plain = Plain::start(Duration::from_millis(15));
             let name = format!("orders-{domain}");
             platform.add(&name, "orders", domain, plain.address(), Backend::Plain(plain.clone()));
-            plains.push(plain);
+            plain_services.push(plain);
         }
         if scenario.starts_warm() {
             engines.iter().for_each(|(_, engine)| engine.warm_up());
             thread::sleep(REPORT_DELAY);
         }
         let fleet = start_fleet(&platform, policy)?;
-        Ok(World { engines, plains, fleet })
+        Ok(Environment { engines, plain_services, fleet })
     }
 }
 
--- a/crates/kingcup-load/src/experiment.rs
+++ b/crates/kingcup-load/src/experiment.rs
@@ -12,11 +12,11 @@
 use kingcupgrade::protocol::order::SetupChange;
 
 use crate::{
+    environment::{Environment, TOKEN_TIME, WARM_SLOTS, WARM_UP, tutor_document},
     load::{End, Load, MAX_TOKENS},
     measure::{Window, fairness_gap, first_token_p95, utilisation},
     result::ExperimentResult,
     scenario::{DOMAINS, ENGINES, FLOODER, Group, ORGANISATIONS, Policy, Scenario, groups},
-    world::{TOKEN_TIME, WARM_SLOTS, WARM_UP, World, tutor_document},
 };
 
 /// The default duration of the measurement.
@@ -41,9 +41,13 @@
     progress: &dyn Fn(&str),
 ) -> anyhow::Result<ExperimentResult> {
     progress("starting 9 entries, 3 control instances and the fake upstreams");
-    let mut world = World::start(scenario, policy)?;
-    let entries: Vec<SocketAddr> =
-        world.fleet.entries().iter().map(|(instance, _)| world.fleet.entry(instance)).collect();
+    let mut environment = Environment::start(scenario, policy)?;
+    let entries: Vec<SocketAddr> = environment
+        .fleet
+        .entries()
+        .iter()
+        .map(|(instance, _)| environment.fleet.entry(instance))
+        .collect();
     let mut load = Load::new();
     for group in groups(scenario) {
         load.add_group(group, &entries);
@@ -58,19 +62,20 @@
     }
     let seconds = Duration::from_secs(seconds.unwrap_or(DEFAULT_SECONDS));
     let from = Instant::now();
-    let control_before = control_bytes(&world);
-    let usage_before = usages(&world);
+    let control_before = control_bytes(&environment);
+    let usage_before = usages(&environment);
     let mut result = ExperimentResult {
         scenario: scenario.name().to_owned(),
         policy: policy.name().to_owned(),
         is_baseline: policy == Policy::Static,
         ..ExperimentResult::default()
     };
-    let events = Events { world: &mut world, load: &mut load, entries: &entries, progress };
+    let events =
+        Events { environment: &mut environment, load: &mut load, entries: &entries, progress };
     let changed = events.run(scenario, seconds, &mut result)?;
     let until = Instant::now();
-    let control_after = control_bytes(&world);
-    let usage_after = usages(&world);
+    let control_after = control_bytes(&environment);
+    let usage_after = usages(&environment);
     progress("waiting for callers to finish");
     load.finish();
     let window = Window { from, until };
@@ -85,13 +90,13 @@
         result.control_cpu_percent_max = result.control_cpu_percent_max.max(percent);
         result.memory_mb_max = result.memory_mb_max.max(after.memory as f64 / 1e6);
     }
-    evaluate(scenario, &world, &load, window, changed, &mut result);
+    evaluate(scenario, &environment, &load, window, changed, &mut result);
     Ok(result)
 }
 
 /// Runs the events of a scenario during the measurement.
 struct Events<'a> {
-    world: &'a mut World,
+    environment: &'a mut Environment,
     load: &'a mut Load,
     entries: &'a [SocketAddr],
     progress: &'a dyn Fn(&str),
@@ -123,28 +128,28 @@
             }
             Scenario::Cold => {
                 (self.progress)("making three engines cold without notice");
-                self.world.engines.iter().step_by(ENGINES).for_each(|(_, e)| e.turn_cold());
+                self.environment.engines.iter().step_by(ENGINES).for_each(|(_, e)| e.turn_cold());
                 self.wait(third * 2);
             }
             Scenario::DomainOut => self.take_domain_out(third, result)?,
             Scenario::EntryKill => {
                 (self.progress)("killing an entry");
-                self.world.fleet.kill("entry-north-0");
+                self.environment.fleet.kill("entry-north-0");
                 self.wait(third);
                 (self.progress)("restarting the entry");
-                self.world.fleet.run("entry-north-0")?;
+                self.environment.fleet.run("entry-north-0")?;
                 self.wait(third);
             }
             Scenario::TakeOver => self.kill_dispatchers(third * 2)?,
             Scenario::Order => self.order_engines(third * 2, result)?,
             Scenario::ControlCut => {
                 let leader =
-                    self.world.fleet.leader().unwrap_or_else(|| "control-north".to_owned());
+                    self.environment.fleet.leader().unwrap_or_else(|| "control-north".to_owned());
                 (self.progress)(&format!("partitioning {leader}, the leader of the record"));
-                self.world.fleet.isolate(&leader, true);
+                self.environment.fleet.isolate(&leader, true);
                 self.wait(third);
                 (self.progress)("reconnecting it");
-                self.world.fleet.isolate(&leader, false);
+                self.environment.fleet.isolate(&leader, false);
                 self.apply(result)?;
                 self.wait(third);
             }
@@ -154,7 +159,7 @@
 
     fn apply(&mut self, result: &mut ExperimentResult) -> anyhow::Result<()> {
         let start = Instant::now();
-        self.world.fleet.apply("tutor", 1, &tutor_document(2))?;
+        self.environment.fleet.apply("tutor", 1, &tutor_document(2))?;
         result.config_in_force_s = Some(start.elapsed().as_secs_f64());
         Ok(())
     }
@@ -166,15 +171,15 @@
     ) -> anyhow::Result<()> {
         (self.progress)(&format!("taking {TARGET_DOMAIN} out of service"));
         let ordered = Instant::now();
-        self.world.fleet.set_domain(TARGET_DOMAIN, true)?;
+        self.environment.fleet.set_domain(TARGET_DOMAIN, true)?;
         result.config_in_force_s = Some(ordered.elapsed().as_secs_f64());
         self.wait(third);
-        let last = self.world.engines.iter().filter(|(domain, _)| domain == TARGET_DOMAIN);
+        let last = self.environment.engines.iter().filter(|(domain, _)| domain == TARGET_DOMAIN);
         let begun = last.flat_map(|(_, engine)| engine.record().begun);
         let after = begun.map(|(_, at)| at).filter(|at| *at > ordered).max();
         result.takeout_s = Some(after.map_or(0.0, |at| (at - ordered).as_secs_f64()));
         (self.progress)(&format!("taking {TARGET_DOMAIN} back into service"));
-        self.world.fleet.set_domain(TARGET_DOMAIN, false)?;
+        self.environment.fleet.set_domain(TARGET_DOMAIN, false)?;
         self.wait(third);
         Ok(())
     }
@@ -182,12 +187,12 @@
     /// Kills the dispatching entry of each failure domain in turn and restarts it.
     fn kill_dispatchers(&mut self, span: Duration) -> anyhow::Result<()> {
         for domain in DOMAINS {
-            let dispatcher = self.world.fleet.dispatcher_of("tutor", domain);
+            let dispatcher = self.environment.fleet.dispatcher_of("tutor", domain);
             let dispatcher = dispatcher.context("a failure domain has no dispatcher")?;
             (self.progress)(&format!("killing {dispatcher}, the dispatcher of {domain}"));
-            self.world.fleet.kill(&dispatcher);
+            self.environment.fleet.kill(&dispatcher);
             self.wait(span / 6);
-            self.world.fleet.run(&dispatcher)?;
+            self.environment.fleet.run(&dispatcher)?;
             self.wait(span / 6);
         }
         Ok(())
@@ -203,14 +208,14 @@
         let names: Vec<String> =
             (0..ENGINES).map(|n| format!("engine-{TARGET_DOMAIN}-{n}")).collect();
         for name in &names {
-            self.world.fleet.order(name, SetupChange::Load("second".to_owned()))?;
+            self.environment.fleet.order(name, SetupChange::Load("second".to_owned()))?;
         }
         result.config_in_force_s = Some(start.elapsed().as_secs_f64());
         (self.progress)(&format!("ordered the engines of {TARGET_DOMAIN} to load another model"));
-        let entries = self.world.fleet.entries();
+        let entries = self.environment.fleet.entries();
         let entries: Vec<String> = entries.into_iter().map(|(instance, _)| instance).collect();
         let is_applied = |name: &String| {
-            let stage = self.world.fleet.order_stage(&entries, name);
+            let stage = self.environment.fleet.order_stage(&entries, name);
             stage.is_some_and(|(_, stage)| stage == "as ordered")
         };
         if wait_until(ORDER_TIMEOUT, || names.iter().all(is_applied)) {
@@ -226,8 +231,8 @@
         while start.elapsed() < span {
             thread::sleep(Duration::from_millis(1_000).min(span));
             let done = self.load.log().asked.lock().expect("request log").len();
-            let running: u32 = self.world.engines.iter().map(|(_, e)| e.running()).sum();
-            let slots = self.world.engines.len() as u32 * WARM_SLOTS;
+            let running: u32 = self.environment.engines.iter().map(|(_, e)| e.running()).sum();
+            let slots = self.environment.engines.len() as u32 * WARM_SLOTS;
             (self.progress)(&format!("{done} requests answered, {running} of {slots} slots busy"));
         }
     }
@@ -235,7 +240,7 @@
 
 fn evaluate(
     scenario: Scenario,
-    world: &World,
+    environment: &Environment,
     load: &Load,
     window: Window,
     changed: Instant,
@@ -243,7 +248,7 @@
 ) {
     let asked = load.log().asked.lock().expect("request log");
     let deposits = load.log().deposits.lock().expect("request log");
-    let records: Vec<EngineRecord> = world.engines.iter().map(|(_, e)| e.record()).collect();
+    let records: Vec<EngineRecord> = environment.engines.iter().map(|(_, e)| e.record()).collect();
     let ends = asked.iter().map(|r| r.end).chain(deposits.iter().map(|d| d.end));
     let ends: Vec<End> = ends.collect();
     let count = |end: End| ends.iter().filter(|e| **e == end).count();
@@ -253,7 +258,8 @@
     result.unknown = count(End::Unknown);
     result.crossed_answers = count(End::Crossed);
     result.truncated_answers = count(End::Truncated);
-    let runs = |key: &str| world.plains.iter().map(|plain| plain.runs_of(key)).sum::<u32>();
+    let runs =
+        |key: &str| environment.plain_services.iter().map(|plain| plain.runs_of(key)).sum::<u32>();
     result.duplicate_runs = deposits.iter().map(|d| runs(&d.key).saturating_sub(1) as usize).sum();
     result.false_not_run = deposits.iter().filter(|d| d.not_run && runs(&d.key) > 0).count();
     result.fairness_gap = fairness_gap(&asked, &records, window);
@@ -289,16 +295,16 @@
     under_way + rate * others * EXCHANGE_LAG.as_secs_f64() / least_share
 }
 
-fn usages(world: &World) -> BTreeMap<String, Usage> {
-    let instances = world.fleet.entries().into_iter().chain(world.fleet.controls());
-    instances.filter_map(|(i, _)| world.fleet.usage(&i).map(|usage| (i, usage))).collect()
+fn usages(environment: &Environment) -> BTreeMap<String, Usage> {
+    let instances = environment.fleet.entries().into_iter().chain(environment.fleet.controls());
+    instances.filter_map(|(i, _)| environment.fleet.usage(&i).map(|usage| (i, usage))).collect()
 }
 
 /// Returns the bytes that each instance has sent to its peers.
-fn control_bytes(world: &World) -> Vec<f64> {
-    let instances = world.fleet.entries().into_iter().chain(world.fleet.controls());
+fn control_bytes(environment: &Environment) -> Vec<f64> {
+    let instances = environment.fleet.entries().into_iter().chain(environment.fleet.controls());
     let bytes = instances.map(|(instance, _)| {
-        let text = world.fleet.metrics(&instance);
+        let text = environment.fleet.metrics(&instance);
         let lines = text.lines().filter(|line| line.starts_with("kingcup_peer_bytes_sent"));
         let values = lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok());
         values.sum()
--- a/crates/kingcup-load/src/main.rs
+++ b/crates/kingcup-load/src/main.rs
@@ -4,6 +4,7 @@
 mod decisions;
 mod demo;
 mod drive;
+mod environment;
 mod experiment;
 mod flags;
 mod load;
@@ -14,7 +15,6 @@
 mod scenario;
 mod slopes;
 mod synthetic;
-mod world;
 
 use std::process::ExitCode;
 
--- a/crates/kingcup-load/src/measure.rs
+++ b/crates/kingcup-load/src/measure.rs
@@ -9,9 +9,9 @@
 use kingcup_support::engine::EngineRecord;
 
 use crate::{
+    environment::WARM_SLOTS,
     load::{Asked, End},
     scenario::ORGANISATIONS,
-    world::WARM_SLOTS,
 };
 
 /// The interval at which time series are sampled.
