--- a/crates/kingcup-load/src/experiment.rs
+++ b/crates/kingcup-load/src/experiment.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     environment::{Environment, TOKEN_TIME, WARM_SLOTS, WARM_UP, tutor_document},
-    load::{End, Load, MAX_TOKENS},
+    load::{Load, MAX_TOKENS, Outcome},
     measure::{Window, fairness_gap, first_token_p95, utilisation},
     result::ExperimentResult,
     scenario::{DOMAINS, ENGINES, FLOODER, Group, ORGANISATIONS, Policy, Scenario, groups},
@@ -230,7 +230,7 @@
         let start = Instant::now();
         while start.elapsed() < span {
             thread::sleep(Duration::from_millis(1_000).min(span));
-            let done = self.load.log().asked.lock().expect("request log").len();
+            let done = self.load.log().requests.lock().expect("request log").len();
             let running: u32 = self.environment.engines.iter().map(|(_, e)| e.running()).sum();
             let slots = self.environment.engines.len() as u32 * WARM_SLOTS;
             (self.progress)(&format!("{done} requests answered, {running} of {slots} slots busy"));
@@ -246,25 +246,25 @@
     changed: Instant,
     result: &mut ExperimentResult,
 ) {
-    let asked = load.log().asked.lock().expect("request log");
+    let requests = load.log().requests.lock().expect("request log");
     let deposits = load.log().deposits.lock().expect("request log");
     let records: Vec<EngineRecord> = environment.engines.iter().map(|(_, e)| e.record()).collect();
-    let ends = asked.iter().map(|r| r.end).chain(deposits.iter().map(|d| d.end));
-    let ends: Vec<End> = ends.collect();
-    let count = |end: End| ends.iter().filter(|e| **e == end).count();
-    result.requests = ends.len();
-    result.completed = count(End::Completed);
-    result.refused_not_run = count(End::NotRun);
-    result.unknown = count(End::Unknown);
-    result.crossed_answers = count(End::Crossed);
-    result.truncated_answers = count(End::Truncated);
+    let outcomes = requests.iter().map(|r| r.outcome).chain(deposits.iter().map(|d| d.outcome));
+    let outcomes: Vec<Outcome> = outcomes.collect();
+    let count = |outcome: Outcome| outcomes.iter().filter(|o| **o == outcome).count();
+    result.requests = outcomes.len();
+    result.completed = count(Outcome::Completed);
+    result.refused_not_run = count(Outcome::NotRun);
+    result.unknown = count(Outcome::Unknown);
+    result.crossed_answers = count(Outcome::Crossed);
+    result.truncated_answers = count(Outcome::Truncated);
     let runs =
         |key: &str| environment.plain_services.iter().map(|plain| plain.runs_of(key)).sum::<u32>();
     result.duplicate_runs = deposits.iter().map(|d| runs(&d.key).saturating_sub(1) as usize).sum();
     result.false_not_run = deposits.iter().filter(|d| d.not_run && runs(&d.key) > 0).count();
-    result.fairness_gap = fairness_gap(&asked, &records, window);
+    result.fairness_gap = fairness_gap(&requests, &records, window);
     result.fairness_bound = fairness_bound();
-    result.utilisation = utilisation(&asked, &records, window);
+    result.utilisation = utilisation(&requests, &records, window);
     result.falls = records.iter().map(|record| record.falls).sum();
     result.ordered_while_busy = records.iter().map(|record| record.ordered_while_busy).sum();
     result.oversold = records.iter().map(|record| record.oversold).sum();
@@ -272,10 +272,10 @@
     if scenario == Scenario::Flood {
         let before = Window { until: changed, ..window };
         let after = Window { from: changed, ..window };
-        result.first_token_ms_p95_before = first_token_p95(&asked, before, others);
-        result.first_token_ms_p95 = first_token_p95(&asked, after, others);
+        result.first_token_ms_p95_before = first_token_p95(&requests, before, others);
+        result.first_token_ms_p95 = first_token_p95(&requests, after, others);
     } else {
-        result.first_token_ms_p95 = first_token_p95(&asked, window, |_| true);
+        result.first_token_ms_p95 = first_token_p95(&requests, window, |_| true);
     }
 }
 
--- a/crates/kingcup-load/src/load.rs
+++ b/crates/kingcup-load/src/load.rs
@@ -34,7 +34,7 @@
 
 /// How a caller's request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum Outcome {
     Completed,
     NotRun,
     Unknown,
@@ -44,13 +44,13 @@
 
 /// A request of a caller to a model engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct RequestRecord {
     pub(crate) id: String,
     pub(crate) organisation: usize,
-    pub(crate) at: Instant,
+    pub(crate) sent_at: Instant,
     /// When the first event or the refusal was received.
-    pub(crate) until: Instant,
-    pub(crate) end: End,
+    pub(crate) answered_at: Instant,
+    pub(crate) outcome: Outcome,
 }
 
 /// A deposit under one idempotency key.
@@ -59,22 +59,22 @@
     pub(crate) key: String,
     /// Whether all attempts were answered as not run.
     pub(crate) not_run: bool,
-    pub(crate) end: End,
+    pub(crate) outcome: Outcome,
 }
 
 /// The requests as the callers observed them.
 #[derive(Default)]
-pub(crate) struct Log {
-    pub(crate) asked: Mutex<Vec<Asked>>,
+pub(crate) struct RequestLog {
+    pub(crate) requests: Mutex<Vec<RequestRecord>>,
     pub(crate) deposits: Mutex<Vec<Deposit>>,
 }
 
 /// The running callers.
 pub(crate) struct Load {
-    log: Arc<Log>,
+    log: Arc<RequestLog>,
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
-    next: Arc<AtomicU64>,
+    next_id: Arc<AtomicU64>,
 }
 
 impl Load {
@@ -83,11 +83,11 @@
             log: Arc::default(),
             stop: Arc::default(),
             threads: Vec::new(),
-            next: Arc::new(AtomicU64::new(1)),
+            next_id: Arc::new(AtomicU64::new(1)),
         }
     }
 
-    pub(crate) fn log(&self) -> &Log {
+    pub(crate) fn log(&self) -> &RequestLog {
         &self.log
     }
 
@@ -96,9 +96,9 @@
     pub(crate) fn add_group(&mut self, group: Group, entries: &[SocketAddr]) {
         for n in 0..group.callers {
             let entries = entries.to_vec();
-            let (log, stop, next) = (self.log.clone(), self.stop.clone(), self.next.clone());
+            let (log, stop, next_id) = (self.log.clone(), self.stop.clone(), self.next_id.clone());
             let seed = (group.organisation * 1_000 + group.entry * 100 + n) as u64 + 1;
-            let call = move || call_engines(group, &entries, seed, &log, &stop, &next);
+            let call = move || call_engines(group, &entries, seed, &log, &stop, &next_id);
             self.threads.push(thread::spawn(call));
         }
     }
@@ -106,8 +106,8 @@
     /// Starts a caller that makes deposits; each attempt uses the same key and the next entry.
     pub(crate) fn add_depositor(&mut self, organisation: usize, entries: &[SocketAddr]) {
         let entries = entries.to_vec();
-        let (log, stop, next) = (self.log.clone(), self.stop.clone(), self.next.clone());
-        let call = move || make_deposits(organisation, &entries, &log, &stop, &next);
+        let (log, stop, next_id) = (self.log.clone(), self.stop.clone(), self.next_id.clone());
+        let call = move || make_deposits(organisation, &entries, &log, &stop, &next_id);
         self.threads.push(thread::spawn(call));
     }
 
@@ -125,9 +125,9 @@
     group: Group,
     entries: &[SocketAddr],
     seed: u64,
-    log: &Log,
+    log: &RequestLog,
     stop: &AtomicBool,
-    next: &AtomicU64,
+    next_id: &AtomicU64,
 ) {
     let (name, _) = ORGANISATIONS[group.organisation];
     let caller = Caller::new(&token(name));
@@ -137,15 +137,17 @@
         random ^= random << 13;
         random ^= random >> 7;
         random ^= random << 17;
-        let id = format!("r{}", next.fetch_add(1, Ordering::SeqCst));
+        let id = format!("r{}", next_id.fetch_add(1, Ordering::SeqCst));
         let tokens = MIN_TOKENS + random % TOKENS_SPREAD;
         let prompt = Prompt { id: id.clone(), organisation: name.to_owned(), tokens };
-        let at = Instant::now();
+        let sent_at = Instant::now();
         let answer = caller.prompt(entries[entry], "tutor", &prompt);
-        let end = classify(&answer, &prompt);
-        let until = if end == End::NotRun { Instant::now() } else { at + answer.first };
-        let asked = Asked { id, organisation: group.organisation, at, until, end };
-        log.asked.lock().expect("request log").push(asked);
+        let outcome = classify(&answer, &prompt);
+        let answered_at =
+            if outcome == Outcome::NotRun { Instant::now() } else { sent_at + answer.first };
+        let request =
+            RequestRecord { id, organisation: group.organisation, sent_at, answered_at, outcome };
+        log.requests.lock().expect("request log").push(request);
         if answer.status == 0 {
             // The platform's load balancer would skip an entry that can't be reached.
             entry = (entry + 1) % entries.len();
@@ -153,7 +155,7 @@
         } else {
             entry = group.entry;
         }
-        if end == End::NotRun {
+        if outcome == Outcome::NotRun {
             let retry_after = Duration::from_secs(answer.retry_after.unwrap_or(0));
             thread::sleep(retry_after.min(MAX_BACKOFF));
         }
@@ -161,42 +163,42 @@
     }
 }
 
-fn classify(answer: &Answer, prompt: &Prompt) -> End {
+fn classify(answer: &Answer, prompt: &Prompt) -> Outcome {
     if answer.is_crossed(prompt) {
-        End::Crossed
+        Outcome::Crossed
     } else if answer.answers(prompt) {
-        End::Completed
+        Outcome::Completed
     } else if answer.outcome == "not-run" {
-        End::NotRun
+        Outcome::NotRun
     } else if answer.status == 200 && answer.is_whole {
-        End::Truncated
+        Outcome::Truncated
     } else {
-        End::Unknown
+        Outcome::Unknown
     }
 }
 
 fn make_deposits(
     organisation: usize,
     entries: &[SocketAddr],
-    log: &Log,
+    log: &RequestLog,
     stop: &AtomicBool,
-    next: &AtomicU64,
+    next_id: &AtomicU64,
 ) {
     let (name, _) = ORGANISATIONS[organisation];
     let caller = Caller::new(&token(name));
     let mut entry = organisation % entries.len();
     while !stop.load(Ordering::SeqCst) {
-        let key = format!("{name}-{}", next.fetch_add(1, Ordering::SeqCst));
-        let mut deposit = Deposit { key: key.clone(), not_run: true, end: End::NotRun };
+        let key = format!("{name}-{}", next_id.fetch_add(1, Ordering::SeqCst));
+        let mut deposit = Deposit { key: key.clone(), not_run: true, outcome: Outcome::NotRun };
         for _ in 0..MAX_DEPOSIT_ATTEMPTS {
             let answer = caller.post(entries[entry], "/orders/deposits", "amount", Some(&key));
             let is_complete = answer.is_whole && answer.outcome == "done";
             deposit.not_run &= answer.outcome == "not-run";
-            deposit.end = match answer.outcome.as_str() {
-                "done" if is_complete && answer.body.starts_with(&key) => End::Completed,
-                "done" if is_complete => End::Crossed,
-                "not-run" => End::NotRun,
-                _ => End::Unknown,
+            deposit.outcome = match answer.outcome.as_str() {
+                "done" if is_complete && answer.body.starts_with(&key) => Outcome::Completed,
+                "done" if is_complete => Outcome::Crossed,
+                "not-run" => Outcome::NotRun,
+                _ => Outcome::Unknown,
             };
             if is_complete {
                 break;
--- a/crates/kingcup-load/src/measure.rs
+++ b/crates/kingcup-load/src/measure.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     environment::WARM_SLOTS,
-    load::{Asked, End},
+    load::{Outcome, RequestRecord},
     scenario::ORGANISATIONS,
 };
 
@@ -42,19 +42,23 @@
 /// Returns for each organisation whether any of its requests was waiting at each step.
 ///
 /// A request is waiting from when it was sent until an engine started it.
-fn waiting_by_step(asked: &[Asked], records: &[EngineRecord], window: Window) -> Vec<Vec<bool>> {
+fn waiting_by_step(
+    requests: &[RequestRecord],
+    records: &[EngineRecord],
+    window: Window,
+) -> Vec<Vec<bool>> {
     let begun = records.iter().flat_map(|record| &record.begun);
     let mut begins: BTreeMap<&str, Instant> = BTreeMap::new();
     for (id, at) in begun {
         begins.entry(id.as_str()).or_insert(*at);
     }
     let mut waited = vec![vec![false; window.steps()]; ORGANISATIONS.len()];
-    for request in asked {
-        let until = begins.get(request.id.as_str()).copied().unwrap_or(request.until);
-        if until <= window.from || request.at >= window.until {
+    for request in requests {
+        let until = begins.get(request.id.as_str()).copied().unwrap_or(request.answered_at);
+        if until <= window.from || request.sent_at >= window.until {
             continue;
         }
-        let first = window.step_of(request.at);
+        let first = window.step_of(request.sent_at);
         let last = window.step_of(until).min(window.steps());
         let series = &mut waited[request.organisation];
         series[first.min(last)..last].fill(true);
@@ -88,8 +92,12 @@
 ///
 /// It is the largest difference in service per share that two organisations reach over any time
 /// range in which both always have waiting requests.
-pub(crate) fn fairness_gap(asked: &[Asked], records: &[EngineRecord], window: Window) -> f64 {
-    let waited = waiting_by_step(asked, records, window);
+pub(crate) fn fairness_gap(
+    requests: &[RequestRecord],
+    records: &[EngineRecord],
+    window: Window,
+) -> f64 {
+    let waited = waiting_by_step(requests, records, window);
     let served = service_by_step(records, window);
     let mut gap: f64 = 0.0;
     for a in 0..ORGANISATIONS.len() {
@@ -121,11 +129,11 @@
 ///
 /// It is `None` if no request ever waited.
 pub(crate) fn utilisation(
-    asked: &[Asked],
+    requests: &[RequestRecord],
     records: &[EngineRecord],
     window: Window,
 ) -> Option<f64> {
-    let waited = waiting_by_step(asked, records, window);
+    let waited = waiting_by_step(requests, records, window);
     let (mut busy, mut available) = (0.0, 0.0);
     let running: Vec<Vec<u32>> =
         records.iter().map(|record| running_by_step(record, window)).collect();
@@ -159,13 +167,15 @@
 /// Only completed requests count that were sent within the window by an organisation that `include`
 /// accepts. It is `None` if there are none.
 pub(crate) fn first_token_p95(
-    asked: &[Asked],
+    requests: &[RequestRecord],
     window: Window,
     include: impl Fn(usize) -> bool,
 ) -> Option<f64> {
-    let in_window = |request: &&Asked| window.contains(request.at) && request.end == End::Completed;
-    let included = asked.iter().filter(in_window).filter(|r| include(r.organisation));
-    let mut times: Vec<Duration> = included.map(|r| r.until - r.at).collect();
+    let in_window = |request: &&RequestRecord| {
+        window.contains(request.sent_at) && request.outcome == Outcome::Completed
+    };
+    let included = requests.iter().filter(in_window).filter(|r| include(r.organisation));
+    let mut times: Vec<Duration> = included.map(|r| r.answered_at - r.sent_at).collect();
     times.sort();
     let index = (times.len() * 95).div_ceil(100).checked_sub(1)?;
     Some(times[index].as_secs_f64() * 1_000.0)
