--- a/crates/kingcup-load/src/environment.rs
+++ b/crates/kingcup-load/src/environment.rs
@@ -6,7 +6,7 @@
     engine::{Engine, EngineConfig},
     fleet::{Fleet, Plan, Program, document},
     plain::Plain,
-    platform::{Backend, Platform},
+    platform::{FakeUpstream, Platform},
 };
 
 use crate::scenario::{DOMAINS, ENGINES, ENTRIES, ORGANISATIONS, Policy, Scenario};
@@ -49,13 +49,19 @@
             for n in 0..ENGINES {
                 let engine = Engine::start(config.clone());
                 let name = format!("engine-{domain}-{n}");
-                let backend = Backend::Engine(engine.clone());
-                platform.add(&name, "tutor", domain, engine.address(), backend);
+                let upstream = FakeUpstream::Engine(engine.clone());
+                platform.add(&name, "tutor", domain, engine.address(), upstream);
                 engines.push((domain.to_owned(), engine));
             }
             let plain = Plain::start(Duration::from_millis(15));
             let name = format!("orders-{domain}");
-            platform.add(&name, "orders", domain, plain.address(), Backend::Plain(plain.clone()));
+            platform.add(
+                &name,
+                "orders",
+                domain,
+                plain.address(),
+                FakeUpstream::Plain(plain.clone()),
+            );
             plain_services.push(plain);
         }
         if scenario.starts_warm() {
--- a/crates/kingcup-load/src/record.rs
+++ b/crates/kingcup-load/src/record.rs
@@ -24,7 +24,7 @@
     caller::Caller,
     fleet::{Fleet, Plan, Program, document, token},
     plain::Plain,
-    platform::{Backend, Platform},
+    platform::{FakeUpstream, Platform},
     wait_until,
 };
 use kingcupgrade::{
@@ -91,7 +91,7 @@
 pub(crate) fn exec() -> anyhow::Result<bool> {
     let platform = Platform::start(Duration::ZERO);
     let plain = Plain::start(Duration::ZERO);
-    platform.add("orders", "orders", "north", plain.address(), Backend::Plain(plain.clone()));
+    platform.add("orders", "orders", "north", plain.address(), FakeUpstream::Plain(plain.clone()));
     let mut plans: Vec<Plan> =
         (0..3).map(|n| Plan::control(&format!("control-{n}"), "north")).collect();
     plans.extend((0..ENTRIES).map(|n| Plan::entry(&format!("entry-{n}"), "north")));
--- a/crates/kingcup-support/src/platform.rs
+++ b/crates/kingcup-support/src/platform.rs
@@ -15,25 +15,25 @@
 
 /// The fake behind a listed upstream.
 #[derive(Clone)]
-pub enum Backend {
+pub enum FakeUpstream {
     /// A model engine.
     Engine(Engine),
     /// A plain service.
     Plain(Plain),
 }
 
-impl Backend {
+impl FakeUpstream {
     fn load(&self) -> Option<ListedLoad> {
         match self {
-            Backend::Engine(engine) => engine.report(),
-            Backend::Plain(_) => Some(ListedLoad { running: 0, warm: true, age_ms: 0 }),
+            FakeUpstream::Engine(engine) => engine.report(),
+            FakeUpstream::Plain(_) => Some(ListedLoad { running: 0, warm: true, age_ms: 0 }),
         }
     }
 
     fn incarnation(&self) -> u64 {
         match self {
-            Backend::Engine(engine) => engine.incarnation(),
-            Backend::Plain(_) => 1,
+            FakeUpstream::Engine(engine) => engine.incarnation(),
+            FakeUpstream::Plain(_) => 1,
         }
     }
 }
@@ -44,7 +44,7 @@
     service: String,
     domain: String,
     address: SocketAddr,
-    backend: Backend,
+    upstream: FakeUpstream,
     /// When it began to leave.
     leaving: Option<Instant>,
 }
@@ -79,7 +79,7 @@
         format!("http://{}/upstreams", self.address)
     }
 
-    /// Lists an upstream at `address`, which can be the address of a proxy to `backend`.
+    /// Lists an upstream at `address`, which can be the address of a proxy to `upstream`.
     ///
     /// # Panics
     ///
@@ -90,14 +90,14 @@
         service: &str,
         domain: &str,
         address: SocketAddr,
-        backend: Backend,
+        upstream: FakeUpstream,
     ) {
         let item = ListItem {
             name: name.to_owned(),
             service: service.to_owned(),
             domain: domain.to_owned(),
             address,
-            backend,
+            upstream,
             leaving: None,
         };
         self.items.lock().expect("platform list").push(item);
@@ -134,8 +134,8 @@
             name: item.name.as_str().into(),
             address: item.address,
             leaving: item.leaving.is_some_and(|since| since.elapsed() >= lag),
-            incarnation: item.backend.incarnation(),
-            load: item.backend.load(),
+            incarnation: item.upstream.incarnation(),
+            load: item.upstream.load(),
         })
         .collect();
     serde_json::to_string(&listed).expect("a list can be serialized")
--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -7,7 +7,7 @@
     engine::EngineConfig,
     fleet::{Fleet, Plan, document, token},
     plain::Plain,
-    platform::{Backend, Platform},
+    platform::{FakeUpstream, Platform},
     proxy::Proxy,
     wait_until,
 };
@@ -28,7 +28,7 @@
 fn start_behind_proxy(entries: usize) -> (World, Proxy) {
     let world = start(&["north"], entries, &EngineConfig::default());
     let behind = Proxy::start(world.plains[0].address());
-    let plain = Backend::Plain(world.plains[0].clone());
+    let plain = FakeUpstream::Plain(world.plains[0].clone());
     world.platform.add("orders-behind", "orders", "north", behind.address(), plain);
     world.platform.leave("orders-north");
     let world = world.with_documents();
@@ -186,7 +186,7 @@
 fn fill_disk(blocks: u32) {
     let platform = Platform::start(Duration::ZERO);
     let plain = Plain::start(Duration::ZERO);
-    platform.add("orders", "orders", "north", plain.address(), Backend::Plain(plain.clone()));
+    platform.add("orders", "orders", "north", plain.address(), FakeUpstream::Plain(plain.clone()));
     let roles = vec![Role::Entry, Role::Control];
     let plan = Plan { instance: "all".to_owned(), domain: "north".to_owned(), roles };
     let mut fleet = Fleet::prepare(daemon(), &[plan], &platform, false).expect("a prepared fleet");
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -6,7 +6,7 @@
     caller::Caller,
     engine::{Engine, EngineConfig, FIRST_MODEL},
     fleet::token,
-    platform::Backend,
+    platform::FakeUpstream,
     wait_until,
 };
 use kingcupgrade::{
@@ -39,8 +39,8 @@
 /// Adds another engine to the pool.
 fn add_engine(world: &World) -> Engine {
     let other = Engine::start(EngineConfig::default());
-    let backend = Backend::Engine(other.clone());
-    world.platform.add("engine-other", "tutor", "north", other.address(), backend);
+    let upstream = FakeUpstream::Engine(other.clone());
+    world.platform.add("engine-other", "tutor", "north", other.address(), upstream);
     other
 }
 
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -6,7 +6,7 @@
     caller::Caller,
     engine::{Engine, EngineConfig},
     fleet::{document, token},
-    platform::Backend,
+    platform::FakeUpstream,
     wait_until,
 };
 use kingcupgrade::{ops::fresh_change_id, protocol::record::Command};
@@ -229,7 +229,7 @@
             "tutor",
             "north",
             engine.address(),
-            Backend::Engine(engine.clone()),
+            FakeUpstream::Engine(engine.clone()),
         );
         world.engines.push(engine);
     }
@@ -260,7 +260,7 @@
         "tutor",
         "north",
         second.address(),
-        Backend::Engine(second.clone()),
+        FakeUpstream::Engine(second.clone()),
     );
     world.engines.push(second);
     let world = world.with_documents();
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -16,7 +16,7 @@
     engine::{Engine, EngineConfig, Prompt},
     fleet::{Fleet, Plan, Program, document, token},
     plain::Plain,
-    platform::{Backend, Platform},
+    platform::{FakeUpstream, Platform},
     wait_until,
 };
 use kingcupgrade::{
@@ -97,11 +97,17 @@
     for domain in domains {
         let stand_in = Engine::start(engine.clone());
         let name = engine_name(domain);
-        platform.add(&name, "tutor", domain, stand_in.address(), Backend::Engine(stand_in.clone()));
+        platform.add(
+            &name,
+            "tutor",
+            domain,
+            stand_in.address(),
+            FakeUpstream::Engine(stand_in.clone()),
+        );
         engines.push(stand_in);
         let plain = Plain::start(Duration::from_millis(20));
         let name = format!("orders-{domain}");
-        platform.add(&name, "orders", domain, plain.address(), Backend::Plain(plain.clone()));
+        platform.add(&name, "orders", domain, plain.address(), FakeUpstream::Plain(plain.clone()));
         plains.push(plain);
         for n in 0..entries {
             plans.push(Plan::entry(&format!("entry-{domain}-{n}"), domain));
