--- a/crates/kingcup-load/src/environment.rs
+++ b/crates/kingcup-load/src/environment.rs
@@ -5,7 +5,7 @@
 use kingcup_support::{
     engine::{Engine, EngineConfig},
     fleet::{Fleet, Plan, Program, document},
-    plain::Plain,
+    plain_service::PlainService,
     platform::{FakeUpstream, Platform},
 };
 
@@ -27,7 +27,7 @@
 /// A running fleet with its fake upstreams. Engines are paired with their failure domain.
 pub(crate) struct Environment {
     pub(crate) engines: Vec<(String, Engine)>,
-    pub(crate) plain_services: Vec<Plain>,
+    pub(crate) plain_services: Vec<PlainService>,
     pub(crate) fleet: Fleet,
 }
 
@@ -53,7 +53,7 @@
                 platform.add(&name, "tutor", domain, engine.address(), upstream);
                 engines.push((domain.to_owned(), engine));
             }
-            let plain = Plain::start(Duration::from_millis(15));
+            let plain = PlainService::start(Duration::from_millis(15));
             let name = format!("orders-{domain}");
             platform.add(
                 &name,
--- a/crates/kingcup-load/src/record.rs
+++ b/crates/kingcup-load/src/record.rs
@@ -23,7 +23,7 @@
 use kingcup_support::{
     caller::Caller,
     fleet::{Fleet, Plan, Program, document, token},
-    plain::Plain,
+    plain_service::PlainService,
     platform::{FakeUpstream, Platform},
     wait_until,
 };
@@ -90,7 +90,7 @@
 /// Runs all measurements, prints one JSON object and returns true.
 pub(crate) fn exec() -> anyhow::Result<bool> {
     let platform = Platform::start(Duration::ZERO);
-    let plain = Plain::start(Duration::ZERO);
+    let plain = PlainService::start(Duration::ZERO);
     platform.add("orders", "orders", "north", plain.address(), FakeUpstream::Plain(plain.clone()));
     let mut plans: Vec<Plan> =
         (0..3).map(|n| Plan::control(&format!("control-{n}"), "north")).collect();
--- a/crates/kingcup-support/src/lib.rs
+++ b/crates/kingcup-support/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod caller;
 pub mod engine;
 pub mod fleet;
-pub mod plain;
+pub mod plain_service;
 pub mod platform;
 pub mod proxy;
 pub mod settings;
--- a/crates/kingcup-support/src/plain.rs
+++ b/crates/kingcup-support/src/plain_service.rs
@@ -20,7 +20,7 @@
 
 /// A running fake plain service.
 #[derive(Clone)]
-pub struct Plain {
+pub struct PlainService {
     server: Server,
     state: Arc<State>,
 }
@@ -31,13 +31,13 @@
     delay_ms: AtomicU64,
 }
 
-impl Plain {
+impl PlainService {
     /// Starts a service that runs a request immediately and responds after `delay`.
     ///
     /// # Panics
     ///
     /// Panics if no loopback port can be bound.
-    pub fn start(delay: Duration) -> Plain {
+    pub fn start(delay: Duration) -> PlainService {
         let state = Arc::new(State::default());
         let serving = state.clone();
         let serve = move |request| {
@@ -45,7 +45,7 @@
             thread::spawn(move || state.serve(request));
         };
         let server = http::start("plain", ANY_PORT.into(), serve).expect("a free port");
-        let plain = Plain { server, state };
+        let plain = PlainService { server, state };
         plain.set_delay(delay);
         plain
     }
--- a/crates/kingcup-support/src/platform.rs
+++ b/crates/kingcup-support/src/platform.rs
@@ -11,7 +11,7 @@
     platform::{ListedLoad, ListedUpstream},
 };
 
-use crate::{ANY_PORT, engine::Engine, plain::Plain};
+use crate::{ANY_PORT, engine::Engine, plain_service::PlainService};
 
 /// The fake behind a listed upstream.
 #[derive(Clone)]
@@ -19,7 +19,7 @@
     /// A model engine.
     Engine(Engine),
     /// A plain service.
-    Plain(Plain),
+    Plain(PlainService),
 }
 
 impl FakeUpstream {
--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -6,7 +6,7 @@
     caller::{Answer, Caller},
     engine::EngineConfig,
     fleet::{Fleet, Plan, document, token},
-    plain::Plain,
+    plain_service::PlainService,
     platform::{FakeUpstream, Platform},
     proxy::Proxy,
     wait_until,
@@ -185,7 +185,7 @@
 
 fn fill_disk(blocks: u32) {
     let platform = Platform::start(Duration::ZERO);
-    let plain = Plain::start(Duration::ZERO);
+    let plain = PlainService::start(Duration::ZERO);
     platform.add("orders", "orders", "north", plain.address(), FakeUpstream::Plain(plain.clone()));
     let roles = vec![Role::Entry, Role::Control];
     let plan = Plan { instance: "all".to_owned(), domain: "north".to_owned(), roles };
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -15,7 +15,7 @@
     caller::{Answer, Caller},
     engine::{Engine, EngineConfig, Prompt},
     fleet::{Fleet, Plan, Program, document, token},
-    plain::Plain,
+    plain_service::PlainService,
     platform::{FakeUpstream, Platform},
     wait_until,
 };
@@ -67,7 +67,7 @@
 pub(crate) struct World {
     pub(crate) platform: Platform,
     pub(crate) engines: Vec<Engine>,
-    pub(crate) plains: Vec<Plain>,
+    pub(crate) plains: Vec<PlainService>,
     pub(crate) fleet: Fleet,
 }
 
@@ -105,7 +105,7 @@
             FakeUpstream::Engine(stand_in.clone()),
         );
         engines.push(stand_in);
-        let plain = Plain::start(Duration::from_millis(20));
+        let plain = PlainService::start(Duration::from_millis(20));
         let name = format!("orders-{domain}");
         platform.add(&name, "orders", domain, plain.address(), FakeUpstream::Plain(plain.clone()));
         plains.push(plain);
