--- a/crates/kingcup-support/src/engine.rs
+++ b/crates/kingcup-support/src/engine.rs
@@ -91,7 +91,7 @@
 
 /// Tokens that an engine sent.
 #[derive(Clone, Debug)]
-pub struct ServedPart {
+pub struct ServedTokens {
     /// The organisation that they were generated for.
     pub organisation: String,
     /// When they were sent.
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct EngineRecord {
     /// Tokens sent, one entry each.
-    pub served: Vec<ServedPart>,
+    pub served: Vec<ServedTokens>,
     /// Crashes from running more than `cold_slots` requests.
     pub falls: u32,
     /// Requests refused because `warm_slots` were already running.
@@ -448,7 +448,7 @@
             if stream.write(event.as_bytes()).is_err() {
                 return false;
             }
-            let part = ServedPart {
+            let part = ServedTokens {
                 organisation: prompt.organisation.clone(),
                 at: Instant::now(),
                 tokens: 1,
