--- a/crates/kingcup-load/src/environment.rs
+++ b/crates/kingcup-load/src/environment.rs
@@ -38,7 +38,7 @@
         let config = EngineConfig {
             cold_slots: COLD_SLOTS,
             warm_slots: WARM_SLOTS,
-            warm_after: 6,
+            requests_until_warm: 6,
             prefill_time: PREFILL_TIME,
             token_time: TOKEN_TIME,
             report_lag: Duration::from_millis(400),
--- a/crates/kingcup-support/src/engine.rs
+++ b/crates/kingcup-support/src/engine.rs
@@ -61,7 +61,7 @@
     /// Requests it can run at once while warm; more are refused.
     pub warm_slots: u32,
     /// Requests to complete before it is warm.
-    pub warm_after: u32,
+    pub requests_until_warm: u32,
     /// The time to the first token.
     pub prefill_time: Duration,
     /// The time between tokens.
@@ -71,7 +71,7 @@
     /// The time to load a model or to change the role.
     pub load_time: Duration,
     /// Whether it refuses orders whose fencing number is below the highest it has applied.
-    pub checks_numbers: bool,
+    pub checks_fencing: bool,
 }
 
 impl Default for EngineConfig {
@@ -79,12 +79,12 @@
         EngineConfig {
             cold_slots: 2,
             warm_slots: 8,
-            warm_after: 4,
+            requests_until_warm: 4,
             prefill_time: Duration::from_millis(20),
             token_time: Duration::from_millis(10),
             report_lag: Duration::from_millis(300),
             load_time: Duration::from_millis(300),
-            checks_numbers: false,
+            checks_fencing: false,
         }
     }
 }
@@ -221,7 +221,7 @@
 
     /// Makes it warm immediately.
     pub fn warm_up(&self) {
-        self.state.completed.store(self.state.config.warm_after, Ordering::SeqCst);
+        self.state.completed.store(self.state.config.requests_until_warm, Ordering::SeqCst);
     }
 
     /// Makes it cold without notice, as if its cache were lost.
@@ -294,7 +294,7 @@
 
 impl State {
     fn is_warm(&self) -> bool {
-        self.completed.load(Ordering::SeqCst) >= self.config.warm_after
+        self.completed.load(Ordering::SeqCst) >= self.config.requests_until_warm
     }
 
     fn serve(&self, mut request: Request) {
@@ -353,7 +353,7 @@
     fn apply_order(&self, order: &OrderRequest) -> bool {
         let mut record = self.record.lock().expect("engine record");
         let highest = record.ordered.iter().map(|(number, _)| *number).max().unwrap_or(0);
-        if self.config.checks_numbers && order.number < highest {
+        if self.config.checks_fencing && order.number < highest {
             record.outdated.push(order.number);
             return false;
         }
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -78,8 +78,8 @@
 // for good; it is found by reading it back and ordered anew.
 #[test]
 fn an_order_that_arrives_late_does_not_last() {
-    for checks_numbers in [true, false] {
-        let engine = EngineConfig { checks_numbers, ..EngineConfig::default() };
+    for checks_fencing in [true, false] {
+        let engine = EngineConfig { checks_fencing, ..EngineConfig::default() };
         let world = start(&["north"], 1, &engine).with_documents();
         let instances = entries(&world);
         let first = world.fleet.order("engine-north", load("second")).expect("an order");
@@ -87,14 +87,14 @@
         let second = world.fleet.order("engine-north", load("third")).expect("an order");
         assert!(wait_until(PATIENCE, || is_settled(&world, &instances, "engine-north", second)));
         let status = order_directly(world.engines[0].address(), first, "second");
-        assert_eq!(status, if checks_numbers { 409 } else { 202 });
+        assert_eq!(status, if checks_fencing { 409 } else { 202 });
         let is_right = || {
             let setup = world.engines[0].setup();
             setup.model == "third" && setup.ready
         };
         assert!(wait_until(PATIENCE, is_right), "the late order lasts");
         let outdated = world.engines[0].record().outdated;
-        assert_eq!(outdated, if checks_numbers { vec![first] } else { vec![] });
+        assert_eq!(outdated, if checks_fencing { vec![first] } else { vec![] });
         let asked = prompt("after", "alder", 3);
         let caller = Caller::new(&token("alder"));
         let entry = world.fleet.entry("entry-north-0");
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -17,7 +17,7 @@
 
 /// An engine that never warms up, so that its cold limit holds all the time.
 fn cold_engine() -> EngineConfig {
-    EngineConfig { warm_after: u32::MAX, ..EngineConfig::default() }
+    EngineConfig { requests_until_warm: u32::MAX, ..EngineConfig::default() }
 }
 
 /// Longer than it takes to lose and to win a lease.
