--- a/crates/kingcup-support/src/engine.rs
+++ b/crates/kingcup-support/src/engine.rs
@@ -240,7 +240,7 @@
     }
 
     /// Makes responses stall after this many events until reset; zero disables it.
-    pub fn go_silent_after(&self, events: u64) {
+    pub fn stall_after(&self, events: u64) {
         self.state.stall_after.store(events, Ordering::SeqCst);
     }
 
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -284,7 +284,7 @@
 fn an_answer_that_goes_silent_is_resumed_where_it_stopped() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
     let engine = world.engines[0].clone();
-    engine.go_silent_after(5);
+    engine.stall_after(5);
     let entry = world.fleet.entry("entry-north-0");
     let caller = thread::spawn(move || {
         let asked = prompt("quote", "alder", 12);
@@ -294,7 +294,7 @@
     let silent = || engine.record().served.len() == 5;
     assert!(wait_until(PATIENCE, silent), "the engine never began");
     assert!(wait_until(PATIENCE, || engine.record().begun.len() > 1), "nobody asks again");
-    engine.go_silent_after(0);
+    engine.stall_after(0);
     let (asked, answer) = caller.join().expect("a caller");
     assert!(answer.answers(&asked), "{answer:?}");
 }
