--- a/crates/kingcup-load/src/experiment.rs
+++ b/crates/kingcup-load/src/experiment.rs
@@ -175,8 +175,8 @@
         result.config_in_force_s = Some(ordered.elapsed().as_secs_f64());
         self.wait(third);
         let last = self.environment.engines.iter().filter(|(domain, _)| domain == TARGET_DOMAIN);
-        let begun = last.flat_map(|(_, engine)| engine.record().begun);
-        let after = begun.map(|(_, at)| at).filter(|at| *at > ordered).max();
+        let started = last.flat_map(|(_, engine)| engine.record().started);
+        let after = started.map(|(_, at)| at).filter(|at| *at > ordered).max();
         result.takeout_s = Some(after.map_or(0.0, |at| (at - ordered).as_secs_f64()));
         (self.progress)(&format!("taking {TARGET_DOMAIN} back into service"));
         self.environment.fleet.set_domain(TARGET_DOMAIN, false)?;
--- a/crates/kingcup-load/src/measure.rs
+++ b/crates/kingcup-load/src/measure.rs
@@ -47,14 +47,14 @@
     records: &[EngineRecord],
     window: Window,
 ) -> Vec<Vec<bool>> {
-    let begun = records.iter().flat_map(|record| &record.begun);
-    let mut begins: BTreeMap<&str, Instant> = BTreeMap::new();
-    for (id, at) in begun {
-        begins.entry(id.as_str()).or_insert(*at);
+    let started = records.iter().flat_map(|record| &record.started);
+    let mut started_at: BTreeMap<&str, Instant> = BTreeMap::new();
+    for (id, at) in started {
+        started_at.entry(id.as_str()).or_insert(*at);
     }
     let mut waited = vec![vec![false; window.steps()]; ORGANISATIONS.len()];
     for request in requests {
-        let until = begins.get(request.id.as_str()).copied().unwrap_or(request.answered_at);
+        let until = started_at.get(request.id.as_str()).copied().unwrap_or(request.answered_at);
         if until <= window.from || request.sent_at >= window.until {
             continue;
         }
--- a/crates/kingcup-support/src/engine.rs
+++ b/crates/kingcup-support/src/engine.rs
@@ -110,7 +110,7 @@
     /// Requests refused because `warm_slots` were already running.
     pub oversold: u32,
     /// Requests started: prompt ID and time.
-    pub begun: Vec<(String, Instant)>,
+    pub started: Vec<(String, Instant)>,
     /// Requests that ended before the whole response was sent.
     pub cancelled: u32,
     /// The number of running requests after each change.
@@ -397,7 +397,7 @@
             return false;
         }
         state.running.store(running + 1, Ordering::SeqCst);
-        record.begun.push((prompt.id.clone(), Instant::now()));
+        record.started.push((prompt.id.clone(), Instant::now()));
         record.running.push((Instant::now(), running + 1));
         if !self.is_warm() && !self.is_cooling() {
             record.most_while_cold = record.most_while_cold.max(running + 1);
--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -105,7 +105,7 @@
     first.join().expect("the first caller");
     let asked = prompt("third", "alder", 3);
     assert!(Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked));
-    let begun = world.engines[0].record().begun;
+    let begun = world.engines[0].record().started;
     assert!(!begun.iter().any(|(id, _)| id == "second"), "{begun:?}");
 }
 
--- a/tests/testsuite/domains.rs
+++ b/tests/testsuite/domains.rs
@@ -14,7 +14,7 @@
     let world = start(&["north", "south"], 2, &EngineConfig::default()).with_documents();
     let north = Crowd::start("north", world.fleet.entry("entry-north-0"), "alder", 3, 15);
     let south = Crowd::start("south", world.fleet.entry("entry-south-0"), "birch", 3, 15);
-    let begun = || world.engines[1].record().begun.len();
+    let begun = || world.engines[1].record().started.len();
     assert!(wait_until(PATIENCE, || begun() > 5), "the south never served");
     world.fleet.set_domain("south", true).expect("a failure domain out");
     // The promise is three seconds; the load goes on all the while.
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -55,8 +55,8 @@
     let number = world.fleet.order("engine-north", load("second")).expect("an order");
     let settled = || is_settled(&world, &entries(&world), "engine-north", number);
     assert!(wait_until(PATIENCE, settled), "the order is not carried out");
-    let begun = world.engines[0].record().begun.len();
-    let works_again = || world.engines[0].record().begun.len() > begun;
+    let begun = world.engines[0].record().started.len();
+    let works_again = || world.engines[0].record().started.len() > begun;
     assert!(wait_until(PATIENCE, works_again), "the changed engine gets no requests");
     let answers = crowd.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
@@ -200,11 +200,11 @@
     world.fleet.order("engine-north", SetupChange::Drained(true)).expect("an order");
     let rests = || world.engines[0].setup().drained && world.engines[0].running() == 0;
     assert!(wait_until(PATIENCE, rests), "it is not drained");
-    let begun = world.engines[0].record().begun.len();
+    let begun = world.engines[0].record().started.len();
     assert!(crowd.wait_for(20), "the other engine does not serve");
-    assert_eq!(world.engines[0].record().begun.len(), begun);
+    assert_eq!(world.engines[0].record().started.len(), begun);
     world.fleet.order("engine-north", SetupChange::Drained(false)).expect("an order");
-    let works = || world.engines[0].record().begun.len() > begun;
+    let works = || world.engines[0].record().started.len() > begun;
     assert!(wait_until(PATIENCE, works), "it does not work again");
     let answers = crowd.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -265,15 +265,15 @@
     world.engines.push(second);
     let world = world.with_documents();
     let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 20);
-    assert!(wait_until(PATIENCE, || world.engines.iter().all(|e| e.record().begun.len() > 5)));
+    assert!(wait_until(PATIENCE, || world.engines.iter().all(|e| e.record().started.len() > 5)));
     let change = fresh_change_id().expect("a change id");
     let leave = Command::SetLeaving { change, upstream: "engine-north".into(), leaving: true };
     world.fleet.client().change(leave).expect("an accepted change");
     // The promise is three seconds; the load goes on all the while.
     thread::sleep(Duration::from_secs(3));
-    let before = world.engines[0].record().begun.len();
+    let before = world.engines[0].record().started.len();
     assert!(crowd.wait_for(20), "the other engine does not serve");
-    assert_eq!(world.engines[0].record().begun.len(), before, "new work at a leaving engine");
+    assert_eq!(world.engines[0].record().started.len(), before, "new work at a leaving engine");
     let answers = crowd.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
 }
@@ -293,7 +293,7 @@
     });
     let silent = || engine.record().served.len() == 5;
     assert!(wait_until(PATIENCE, silent), "the engine never began");
-    assert!(wait_until(PATIENCE, || engine.record().begun.len() > 1), "nobody asks again");
+    assert!(wait_until(PATIENCE, || engine.record().started.len() > 1), "nobody asks again");
     engine.stall_after(0);
     let (asked, answer) = caller.join().expect("a caller");
     assert!(answer.answers(&asked), "{answer:?}");
