--- a/crates/kingcup-load/src/experiment.rs
+++ b/crates/kingcup-load/src/experiment.rs
@@ -265,7 +265,7 @@
     result.fairness_gap = fairness_gap(&requests, &records, window);
     result.fairness_bound = fairness_bound();
     result.utilisation = utilisation(&requests, &records, window);
-    result.falls = records.iter().map(|record| record.falls).sum();
+    result.falls = records.iter().map(|record| record.crashes).sum();
     result.ordered_while_busy = records.iter().map(|record| record.ordered_while_busy).sum();
     result.oversold = records.iter().map(|record| record.oversold).sum();
     let others = |organisation: usize| organisation != FLOODER;
--- a/crates/kingcup-support/src/engine.rs
+++ b/crates/kingcup-support/src/engine.rs
@@ -106,7 +106,7 @@
     /// Tokens sent, one entry each.
     pub served: Vec<ServedTokens>,
     /// Crashes from running more than `cold_slots` requests.
-    pub falls: u32,
+    pub crashes: u32,
     /// Requests refused because `warm_slots` were already running.
     pub oversold: u32,
     /// Requests started: prompt ID and time.
@@ -388,7 +388,7 @@
         }
         let running = state.running.load(Ordering::SeqCst);
         if !self.is_warm() && !self.is_cooling() && running >= state.config.cold_slots {
-            record.falls += 1;
+            record.crashes += 1;
             *down = Some(Instant::now() + CRASH_DOWNTIME);
             return false;
         }
--- a/tests/testsuite/domains.rs
+++ b/tests/testsuite/domains.rs
@@ -28,5 +28,5 @@
     for (asked, answer) in north.finish().iter().chain(&south.finish()) {
         assert!(answer.answers(asked), "{answer:?}");
     }
-    assert!(world.engines.iter().all(|engine| engine.record().falls == 0));
+    assert!(world.engines.iter().all(|engine| engine.record().crashes == 0));
 }
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -26,7 +26,7 @@
 fn assert_spared(world: &World) {
     for engine in &world.engines {
         let record = engine.record();
-        assert_eq!(record.falls, 0, "a cold engine fell over");
+        assert_eq!(record.crashes, 0, "a cold engine fell over");
         assert!(record.most_while_cold <= 2, "{} ran at once", record.most_while_cold);
     }
 }
@@ -178,7 +178,7 @@
     world.engines[0].turn_cold();
     assert!(crowd.wait_for(20));
     check_answers(&crowd.finish());
-    assert_eq!(world.engines[0].record().falls, 0);
+    assert_eq!(world.engines[0].record().crashes, 0);
 }
 
 // A firewall forgets the connections between two instances: they stay open and carry nothing,
