--- a/crates/kingcup-support/src/engine.rs
+++ b/crates/kingcup-support/src/engine.rs
@@ -108,7 +108,7 @@
     /// Crashes from running more than `cold_slots` requests.
     pub crashes: u32,
     /// Requests refused because `warm_slots` were already running.
-    pub oversold: u32,
+    pub refused_over_limit: u32,
     /// Requests started: prompt ID and time.
     pub started: Vec<(String, Instant)>,
     /// Requests that ended before the whole response was sent.
@@ -393,7 +393,7 @@
             return false;
         }
         if running >= state.config.warm_slots {
-            record.oversold += 1;
+            record.refused_over_limit += 1;
             return false;
         }
         state.running.store(running + 1, Ordering::SeqCst);
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -63,7 +63,7 @@
     assert_eq!(world.engines[0].setup().model, "second");
     assert_eq!(other.setup().model, FIRST_MODEL);
     let record = world.engines[0].record();
-    assert_eq!((record.ordered_while_busy, record.crashes, record.oversold), (0, 0, 0));
+    assert_eq!((record.ordered_while_busy, record.crashes, record.refused_over_limit), (0, 0, 0));
     assert!(record.ordered.iter().all(|(known, _)| *known == number), "{:?}", record.ordered);
 }
 
