--- a/crates/kingcup-load/src/experiment.rs
+++ b/crates/kingcup-load/src/experiment.rs
@@ -266,7 +266,7 @@
     result.fairness_bound = fairness_bound();
     result.utilisation = utilisation(&requests, &records, window);
     result.falls = records.iter().map(|record| record.crashes).sum();
-    result.ordered_while_busy = records.iter().map(|record| record.ordered_while_busy).sum();
+    result.ordered_while_busy = records.iter().map(|record| record.orders_while_busy).sum();
     result.oversold = records.iter().map(|record| record.refused_over_limit).sum();
     let others = |organisation: usize| organisation != FLOODER;
     if scenario == Scenario::Flood {
--- a/crates/kingcup-support/src/engine.rs
+++ b/crates/kingcup-support/src/engine.rs
@@ -118,11 +118,11 @@
     /// The highest number of requests run at once while cold.
     pub most_while_cold: u32,
     /// Orders applied: fencing number and time.
-    pub ordered: Vec<(u64, Instant)>,
+    pub applied_orders: Vec<(u64, Instant)>,
     /// Fencing numbers of the orders refused because a higher number had been applied.
-    pub outdated: Vec<u64>,
+    pub outdated_orders: Vec<u64>,
     /// Orders applied while requests were running.
-    pub ordered_while_busy: u32,
+    pub orders_while_busy: u32,
 }
 
 #[derive(Debug)]
@@ -352,14 +352,14 @@
     /// Applies an order; returns false if its fencing number is checked and outdated.
     fn apply_order(&self, order: &OrderRequest) -> bool {
         let mut record = self.record.lock().expect("engine record");
-        let highest = record.ordered.iter().map(|(number, _)| *number).max().unwrap_or(0);
+        let highest = record.applied_orders.iter().map(|(number, _)| *number).max().unwrap_or(0);
         if self.config.checks_fencing && order.number < highest {
-            record.outdated.push(order.number);
+            record.outdated_orders.push(order.number);
             return false;
         }
-        record.ordered.push((order.number, Instant::now()));
+        record.applied_orders.push((order.number, Instant::now()));
         if self.running.load(Ordering::SeqCst) > 0 {
-            record.ordered_while_busy += 1;
+            record.orders_while_busy += 1;
         }
         drop(record);
         let mut setup = self.setup.lock().expect("engine setup");
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -63,8 +63,12 @@
     assert_eq!(world.engines[0].setup().model, "second");
     assert_eq!(other.setup().model, FIRST_MODEL);
     let record = world.engines[0].record();
-    assert_eq!((record.ordered_while_busy, record.crashes, record.refused_over_limit), (0, 0, 0));
-    assert!(record.ordered.iter().all(|(known, _)| *known == number), "{:?}", record.ordered);
+    assert_eq!((record.orders_while_busy, record.crashes, record.refused_over_limit), (0, 0, 0));
+    assert!(
+        record.applied_orders.iter().all(|(known, _)| *known == number),
+        "{:?}",
+        record.applied_orders
+    );
 }
 
 fn order_directly(engine: SocketAddr, number: u64, model: &str) -> u16 {
@@ -93,7 +97,7 @@
             setup.model == "third" && setup.ready
         };
         assert!(wait_until(PATIENCE, is_right), "the late order lasts");
-        let outdated = world.engines[0].record().outdated;
+        let outdated = world.engines[0].record().outdated_orders;
         assert_eq!(outdated, if checks_fencing { vec![first] } else { vec![] });
         let asked = prompt("after", "alder", 3);
         let caller = Caller::new(&token("alder"));
@@ -137,9 +141,9 @@
     assert!(wait_until(PATIENCE, thawed), "the thawed entry still dispatches");
     assert!(long.join().expect("a caller"), "the long answer is cut");
     let record = world.engines[0].record();
-    let numbers: Vec<u64> = record.ordered.iter().map(|(number, _)| *number).collect();
+    let numbers: Vec<u64> = record.applied_orders.iter().map(|(number, _)| *number).collect();
     assert!(numbers.is_sorted() && numbers.iter().all(|number| *number > first), "{numbers:?}");
-    assert_eq!(record.ordered_while_busy, 0);
+    assert_eq!(record.orders_while_busy, 0);
 }
 
 // Guards against an order that waits for as long as an entry is frozen, since that entry might be
@@ -162,7 +166,7 @@
         };
         assert!(wait_until(PATIENCE, is_second), "{owner} is frozen and holds the order up");
         world.fleet.signal(owner, "CONT");
-        assert_eq!(world.engines[0].record().ordered_while_busy, 0);
+        assert_eq!(world.engines[0].record().orders_while_busy, 0);
     }
 }
 
@@ -185,7 +189,7 @@
     assert!(crowd.wait_for(10), "the engine does not work again");
     check_answers(&crowd.finish());
     let record = world.engines[0].record();
-    assert_eq!((record.ordered_while_busy, record.crashes), (0, 0));
+    assert_eq!((record.orders_while_busy, record.crashes), (0, 0));
     assert_eq!(world.engines[0].setup().model, "second");
 }
 
