--- a/crates/kingcup-support/src/engine.rs
+++ b/crates/kingcup-support/src/engine.rs
@@ -116,7 +116,7 @@
     /// The number of running requests after each change.
     pub running: Vec<(Instant, u32)>,
     /// The highest number of requests run at once while cold.
-    pub most_while_cold: u32,
+    pub max_running_while_cold: u32,
     /// Orders applied: fencing number and time.
     pub applied_orders: Vec<(u64, Instant)>,
     /// Fencing numbers of the orders refused because a higher number had been applied.
@@ -400,7 +400,7 @@
         record.started.push((prompt.id.clone(), Instant::now()));
         record.running.push((Instant::now(), running + 1));
         if !self.is_warm() && !self.is_cooling() {
-            record.most_while_cold = record.most_while_cold.max(running + 1);
+            record.max_running_while_cold = record.max_running_while_cold.max(running + 1);
         }
         true
     }
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -27,7 +27,11 @@
     for engine in &world.engines {
         let record = engine.record();
         assert_eq!(record.crashes, 0, "a cold engine fell over");
-        assert!(record.most_while_cold <= 2, "{} ran at once", record.most_while_cold);
+        assert!(
+            record.max_running_while_cold <= 2,
+            "{} ran at once",
+            record.max_running_while_cold
+        );
     }
 }
 
