--- a/crates/kingcup-load/src/load.rs
+++ b/crates/kingcup-load/src/load.rs
@@ -11,7 +11,7 @@
 };
 
 use kingcup_support::{
-    caller::{Answer, Caller},
+    caller::{Caller, Response},
     engine::Prompt,
     fleet::token,
 };
@@ -143,8 +143,11 @@
         let sent_at = Instant::now();
         let answer = caller.prompt(entries[entry], "tutor", &prompt);
         let outcome = classify(&answer, &prompt);
-        let answered_at =
-            if outcome == Outcome::NotRun { Instant::now() } else { sent_at + answer.first };
+        let answered_at = if outcome == Outcome::NotRun {
+            Instant::now()
+        } else {
+            sent_at + answer.time_to_first_line
+        };
         let request =
             RequestRecord { id, organisation: group.organisation, sent_at, answered_at, outcome };
         log.requests.lock().expect("request log").push(request);
@@ -163,14 +166,14 @@
     }
 }
 
-fn classify(answer: &Answer, prompt: &Prompt) -> Outcome {
-    if answer.is_crossed(prompt) {
+fn classify(answer: &Response, prompt: &Prompt) -> Outcome {
+    if answer.contains_other_prompt(prompt) {
         Outcome::Crossed
-    } else if answer.answers(prompt) {
+    } else if answer.is_complete_for(prompt) {
         Outcome::Completed
     } else if answer.outcome == "not-run" {
         Outcome::NotRun
-    } else if answer.status == 200 && answer.is_whole {
+    } else if answer.status == 200 && answer.is_complete {
         Outcome::Truncated
     } else {
         Outcome::Unknown
@@ -192,7 +195,7 @@
         let mut deposit = Deposit { key: key.clone(), not_run: true, outcome: Outcome::NotRun };
         for _ in 0..MAX_DEPOSIT_ATTEMPTS {
             let answer = caller.post(entries[entry], "/orders/deposits", "amount", Some(&key));
-            let is_complete = answer.is_whole && answer.outcome == "done";
+            let is_complete = answer.is_complete && answer.outcome == "done";
             deposit.not_run &= answer.outcome == "not-run";
             deposit.outcome = match answer.outcome.as_str() {
                 "done" if is_complete && answer.body.starts_with(&key) => Outcome::Completed,
--- a/crates/kingcup-support/src/caller.rs
+++ b/crates/kingcup-support/src/caller.rs
@@ -13,7 +13,7 @@
 
 /// The response to a request, as far as it was received.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// The HTTP status, or zero if no response head was received.
     pub status: u16,
     /// The `kingcup-code` header, or zero if it is missing.
@@ -25,32 +25,32 @@
     /// The body received before the end, an error or an early disconnect.
     pub body: String,
     /// Whether the body was read to its end and contains no `error` event.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Time from sending the request to the first line of the body; zero if there was none.
-    pub first: Duration,
+    pub time_to_first_line: Duration,
 }
 
-impl Answer {
-    fn none() -> Answer {
-        Answer {
+impl Response {
+    fn none() -> Response {
+        Response {
             status: 0,
             code: 0,
             outcome: String::new(),
             retry_after: None,
             body: String::new(),
-            is_whole: false,
-            first: Duration::ZERO,
+            is_complete: false,
+            time_to_first_line: Duration::ZERO,
         }
     }
 
     /// Returns whether the body is complete and consists of exactly the events of `prompt`.
-    pub fn answers(&self, prompt: &Prompt) -> bool {
+    pub fn is_complete_for(&self, prompt: &Prompt) -> bool {
         let expected = (0..prompt.tokens).map(|n| format!("data: {} {n}\n\n", prompt.id));
-        self.is_whole && self.body == expected.collect::<String>()
+        self.is_complete && self.body == expected.collect::<String>()
     }
 
     /// Returns whether the body contains events of another prompt.
-    pub fn is_crossed(&self, prompt: &Prompt) -> bool {
+    pub fn contains_other_prompt(&self, prompt: &Prompt) -> bool {
         let mut events = self.body.lines().filter_map(|line| line.strip_prefix("data: "));
         events.any(|event| !event.starts_with('{') && event.split(' ').next() != Some(&prompt.id))
     }
@@ -79,13 +79,13 @@
     /// # Panics
     ///
     /// Never: serializing a [`Prompt`] can't fail.
-    pub fn prompt(&self, entry: SocketAddr, service: &str, prompt: &Prompt) -> Answer {
+    pub fn prompt(&self, entry: SocketAddr, service: &str, prompt: &Prompt) -> Response {
         let body = serde_json::to_string(prompt).expect("a prompt can be serialized");
         self.post(entry, &format!("/{service}/generate"), &body, None)
     }
 
     /// Sends a POST request and reads the whole response.
-    pub fn post(&self, entry: SocketAddr, path: &str, body: &str, key: Option<&str>) -> Answer {
+    pub fn post(&self, entry: SocketAddr, path: &str, body: &str, key: Option<&str>) -> Response {
         self.post_with(entry, path, body, key, |_| true)
     }
 
@@ -99,7 +99,7 @@
         body: &str,
         key: Option<&str>,
         mut keep_reading: impl FnMut(&str) -> bool,
-    ) -> Answer {
+    ) -> Response {
         let start = Instant::now();
         let mut request = self
             .agent
@@ -108,31 +108,31 @@
         if let Some(key) = key {
             request = request.header("Idempotency-Key", key);
         }
-        let Ok(mut response) = request.send(body) else { return Answer::none() };
+        let Ok(mut response) = request.send(body) else { return Response::none() };
         let header = |name: &str| {
             let value = response.headers().get(name).and_then(|value| value.to_str().ok());
             value.unwrap_or_default().to_owned()
         };
-        let mut answer = Answer {
+        let mut answer = Response {
             status: response.status().as_u16(),
             code: header("kingcup-code").parse().unwrap_or(0),
             outcome: header("kingcup-outcome"),
             retry_after: header("retry-after").parse().ok(),
-            ..Answer::none()
+            ..Response::none()
         };
         let mut reader = BufReader::new(response.body_mut().as_reader());
         loop {
             let mut line = String::new();
             match reader.read_line(&mut line) {
                 Ok(0) => {
-                    answer.is_whole = !answer.body.contains("event: error");
+                    answer.is_complete = !answer.body.contains("event: error");
                     break;
                 }
                 Ok(_) => {}
                 Err(_) => break,
             }
-            if answer.first.is_zero() {
-                answer.first = start.elapsed();
+            if answer.time_to_first_line.is_zero() {
+                answer.time_to_first_line = start.elapsed();
             }
             answer.body.push_str(&line);
             if !keep_reading(&line) {
--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -28,7 +28,7 @@
         first.get_or_insert_with(Instant::now);
         true
     });
-    assert!(answer.answers(&asked), "{answer:?}");
+    assert!(answer.is_complete_for(&asked), "{answer:?}");
     let last_written = world.engines[0].record().served.last().expect("events").at;
     assert!(first.expect("an event") < last_written);
 }
@@ -43,7 +43,7 @@
         thread::spawn(move || {
             let asked = prompt(&format!("of-{organisation}"), organisation, 30);
             let answer = Caller::new(&token(organisation)).prompt(entry, "tutor", &asked);
-            assert!(answer.answers(&asked), "{answer:?}");
+            assert!(answer.is_complete_for(&asked), "{answer:?}");
         })
     };
     let threads = [ask("alder"), ask("birch")];
@@ -62,7 +62,7 @@
     let caller = Caller::new(&token("alder"));
     let answer =
         caller.post_with(entry, "/tutor/generate", &body, None, |line| !line.contains("long 5"));
-    assert!(!answer.is_whole);
+    assert!(!answer.is_complete);
     assert!(wait_until(PATIENCE, || world.engines[0].running() == 0), "the engine still runs it");
     let dispatched = || {
         let status = world.fleet.status("entry-north-0").expect("a status");
@@ -104,7 +104,7 @@
     drop(end);
     first.join().expect("the first caller");
     let asked = prompt("third", "alder", 3);
-    assert!(Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked));
+    assert!(Caller::new(&token("alder")).prompt(entry, "tutor", &asked).is_complete_for(&asked));
     let begun = world.engines[0].record().started;
     assert!(!begun.iter().any(|(id, _)| id == "second"), "{begun:?}");
 }
@@ -136,6 +136,6 @@
     });
     assert!(refused, "a late request is not refused");
     let (asked, answer) = caller.join().expect("a caller");
-    assert!(answer.answers(&asked), "{answer:?}");
+    assert!(answer.is_complete_for(&asked), "{answer:?}");
     assert!(world.fleet.wait_for_end("entry-north-0", PATIENCE), "the entry does not end");
 }
--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -3,7 +3,7 @@
 use std::{thread, time::Duration};
 
 use kingcup_support::{
-    caller::{Answer, Caller},
+    caller::{Caller, Response},
     engine::EngineConfig,
     fleet::{Fleet, Plan, document, token},
     plain_service::PlainService,
@@ -15,7 +15,7 @@
 
 use crate::support::{PATIENCE, World, daemon, daemon_with_full_disk, orders_document, start};
 
-fn deposit(world: &World, entry: &str, key: &str, body: &str) -> Answer {
+fn deposit(world: &World, entry: &str, key: &str, body: &str) -> Response {
     let address = world.fleet.entry(entry);
     Caller::new(&token("alder")).post(address, "/orders/deposits", body, Some(key))
 }
@@ -38,7 +38,7 @@
 }
 
 /// Sends a deposit in the background, to be cut off with its entry.
-fn deposit_later(world: &World, entry: &str, key: &'static str) -> thread::JoinHandle<Answer> {
+fn deposit_later(world: &World, entry: &str, key: &'static str) -> thread::JoinHandle<Response> {
     let address = world.fleet.entry(entry);
     thread::spawn(move || {
         Caller::new(&token("alder")).post(address, "/orders/deposits", "50", Some(key))
--- a/tests/testsuite/domains.rs
+++ b/tests/testsuite/domains.rs
@@ -26,7 +26,7 @@
     world.fleet.set_domain("south", false).expect("a failure domain in");
     assert!(wait_until(PATIENCE, || begun() > before + 5), "the south does not serve again");
     for (asked, answer) in north.finish().iter().chain(&south.finish()) {
-        assert!(answer.answers(asked), "{answer:?}");
+        assert!(answer.is_complete_for(asked), "{answer:?}");
     }
     assert!(world.engines.iter().all(|engine| engine.record().crashes == 0));
 }
--- a/tests/testsuite/input.rs
+++ b/tests/testsuite/input.rs
@@ -126,7 +126,7 @@
     let too_large = ask_raw(entry, endless.as_bytes());
     assert!(too_large.to_ascii_lowercase().contains("kingcup-code: 2005"), "{too_large}");
     let asked = prompt("after", "alder", 3);
-    assert!(caller.prompt(entry, "tutor", &asked).answers(&asked));
+    assert!(caller.prompt(entry, "tutor", &asked).is_complete_for(&asked));
 }
 
 // Somebody without the fleet key connects and claims a lease. The frame is dropped and counted,
@@ -153,7 +153,7 @@
     assert!(wait_until(PATIENCE, counted), "the frame is not counted");
     let asked = prompt("after", "alder", 3);
     let entry = world.fleet.entry("entry-north-0");
-    assert!(Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked));
+    assert!(Caller::new(&token("alder")).prompt(entry, "tutor", &asked).is_complete_for(&asked));
 }
 
 fn kingcup(fleet: &std::path::Path, args: &[&str]) -> (Option<i32>, String) {
@@ -232,7 +232,7 @@
         let entry = world.fleet.entry("entry-north-0");
         let is_served = |id: &str| {
             let asked = prompt(id, "alder", 3);
-            caller.prompt(entry, "tutor", &asked).answers(&asked)
+            caller.prompt(entry, "tutor", &asked).is_complete_for(&asked)
         };
         assert!(wait_until(PATIENCE, || is_served("before")));
         let failures = || world.fleet.log("entry-north-0").matches("accept-failed").count();
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -59,7 +59,7 @@
     let works_again = || world.engines[0].record().started.len() > begun;
     assert!(wait_until(PATIENCE, works_again), "the changed engine gets no requests");
     let answers = crowd.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     assert_eq!(world.engines[0].setup().model, "second");
     assert_eq!(other.setup().model, FIRST_MODEL);
     let record = world.engines[0].record();
@@ -102,7 +102,7 @@
         let asked = prompt("after", "alder", 3);
         let caller = Caller::new(&token("alder"));
         let entry = world.fleet.entry("entry-north-0");
-        let served = || caller.prompt(entry, "tutor", &asked).answers(&asked);
+        let served = || caller.prompt(entry, "tutor", &asked).is_complete_for(&asked);
         assert!(wait_until(PATIENCE, served));
     }
 }
@@ -118,7 +118,7 @@
     let entry = world.fleet.entry(&others[0]);
     let long = thread::spawn(move || {
         let asked = prompt("long", "alder", 400);
-        Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked)
+        Caller::new(&token("alder")).prompt(entry, "tutor", &asked).is_complete_for(&asked)
     });
     assert!(wait_until(PATIENCE, || world.engines[0].running() == 1));
     let first = world.fleet.order("engine-north", load("second")).expect("an order");
@@ -211,7 +211,7 @@
     let works = || world.engines[0].record().started.len() > begun;
     assert!(wait_until(PATIENCE, works), "it does not work again");
     let answers = crowd.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
 }
 
 // A slip in an order must not reach an engine, which might take it for a model's name.
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -54,7 +54,7 @@
     world.fleet.kill(&dispatcher);
     assert!(crowd.wait_for(20), "the backlog is not served after the take-over");
     let answers = crowd.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     assert_spared(&world);
 }
 
@@ -141,7 +141,7 @@
     world.fleet.run(&others[1]).expect("a started entry");
     assert!(lost.wait_for(10), "the restarted entry does not serve");
     let answers = kept.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     check_answers(&lost.finish());
     assert_spared(&world);
 }
@@ -160,7 +160,7 @@
     let other = Crowd::start("other", entry, "birch", 2, 10);
     assert!(other.wait_for(10), "the other organisation is not served");
     let answers = other.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     let answers = flood.finish();
     let refused: Vec<_> = answers.iter().filter(|(_, answer)| answer.code == 3001).collect();
     assert!(!refused.is_empty(), "nothing is refused");
@@ -279,7 +279,7 @@
     assert!(crowd.wait_for(20), "the other engine does not serve");
     assert_eq!(world.engines[0].record().started.len(), before, "new work at a leaving engine");
     let answers = crowd.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
 }
 
 // An engine goes silent in the middle of a quote and the connection stays open. The entry notices,
@@ -300,5 +300,5 @@
     assert!(wait_until(PATIENCE, || engine.record().started.len() > 1), "nobody asks again");
     engine.stall_after(0);
     let (asked, answer) = caller.join().expect("a caller");
-    assert!(answer.answers(&asked), "{answer:?}");
+    assert!(answer.is_complete_for(&asked), "{answer:?}");
 }
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -12,7 +12,7 @@
 
 pub(crate) use kingcup_support::settings::fleet_settings;
 use kingcup_support::{
-    caller::{Answer, Caller},
+    caller::{Caller, Response},
     engine::{Engine, EngineConfig, Prompt},
     fleet::{Fleet, Plan, Program, document, token},
     plain_service::PlainService,
@@ -133,7 +133,7 @@
 pub(crate) struct Crowd {
     stop: Arc<AtomicBool>,
     done: Arc<AtomicUsize>,
-    threads: Vec<JoinHandle<Vec<(Prompt, Answer)>>>,
+    threads: Vec<JoinHandle<Vec<(Prompt, Response)>>>,
 }
 
 impl Crowd {
@@ -156,7 +156,7 @@
                     let id = format!("{name}-{n}-{}", answers.len());
                     let asked = prompt(&id, &organisation, tokens);
                     let answer = caller.prompt(entry, "tutor", &asked);
-                    if answer.answers(&asked) {
+                    if answer.is_complete_for(&asked) {
                         done.fetch_add(1, Ordering::SeqCst);
                     } else {
                         std::thread::sleep(Duration::from_millis(50));
@@ -182,7 +182,7 @@
     }
 
     /// Lets the callers finish and returns all they asked and got.
-    pub(crate) fn finish(self) -> Vec<(Prompt, Answer)> {
+    pub(crate) fn finish(self) -> Vec<(Prompt, Response)> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().flat_map(|thread| thread.join().expect("a caller")).collect()
     }
@@ -193,12 +193,15 @@
 /// # Panics
 ///
 /// Panics at the first one that does neither.
-pub(crate) fn check_answers(answers: &[(Prompt, Answer)]) {
+pub(crate) fn check_answers(answers: &[(Prompt, Response)]) {
     for (asked, answer) in answers {
-        assert!(!answer.is_crossed(asked), "crossed: {answer:?}");
+        assert!(!answer.contains_other_prompt(asked), "crossed: {answer:?}");
         let is_refused = answer.outcome == "not-run" || answer.outcome == "unknown";
         let is_marked = answer.body.contains("event: error");
-        let is_gone = !answer.is_whole;
-        assert!(answer.answers(asked) || is_refused || is_marked || is_gone, "cut: {answer:?}");
+        let is_gone = !answer.is_complete;
+        assert!(
+            answer.is_complete_for(asked) || is_refused || is_marked || is_gone,
+            "cut: {answer:?}"
+        );
     }
 }
