--- a/crates/kingcup-load/src/load.rs
+++ b/crates/kingcup-load/src/load.rs
@@ -141,17 +141,17 @@
         let tokens = MIN_TOKENS + random % TOKENS_SPREAD;
         let prompt = Prompt { id: id.clone(), organisation: name.to_owned(), tokens };
         let sent_at = Instant::now();
-        let answer = caller.prompt(entries[entry], "tutor", &prompt);
-        let outcome = classify(&answer, &prompt);
+        let response = caller.prompt(entries[entry], "tutor", &prompt);
+        let outcome = classify(&response, &prompt);
         let answered_at = if outcome == Outcome::NotRun {
             Instant::now()
         } else {
-            sent_at + answer.time_to_first_line
+            sent_at + response.time_to_first_line
         };
         let request =
             RequestRecord { id, organisation: group.organisation, sent_at, answered_at, outcome };
         log.requests.lock().expect("request log").push(request);
-        if answer.status == 0 {
+        if response.status == 0 {
             // The platform's load balancer would skip an entry that can't be reached.
             entry = (entry + 1) % entries.len();
             thread::sleep(Duration::from_millis(50));
@@ -159,21 +159,21 @@
             entry = group.entry;
         }
         if outcome == Outcome::NotRun {
-            let retry_after = Duration::from_secs(answer.retry_after.unwrap_or(0));
+            let retry_after = Duration::from_secs(response.retry_after.unwrap_or(0));
             thread::sleep(retry_after.min(MAX_BACKOFF));
         }
         thread::sleep(Duration::from_millis(group.pause_ms));
     }
 }
 
-fn classify(answer: &Response, prompt: &Prompt) -> Outcome {
-    if answer.contains_other_prompt(prompt) {
+fn classify(response: &Response, prompt: &Prompt) -> Outcome {
+    if response.contains_other_prompt(prompt) {
         Outcome::Crossed
-    } else if answer.is_complete_for(prompt) {
+    } else if response.is_complete_for(prompt) {
         Outcome::Completed
-    } else if answer.outcome == "not-run" {
+    } else if response.outcome == "not-run" {
         Outcome::NotRun
-    } else if answer.status == 200 && answer.is_complete {
+    } else if response.status == 200 && response.is_complete {
         Outcome::Truncated
     } else {
         Outcome::Unknown
@@ -194,11 +194,11 @@
         let key = format!("{name}-{}", next_id.fetch_add(1, Ordering::SeqCst));
         let mut deposit = Deposit { key: key.clone(), not_run: true, outcome: Outcome::NotRun };
         for _ in 0..MAX_DEPOSIT_ATTEMPTS {
-            let answer = caller.post(entries[entry], "/orders/deposits", "amount", Some(&key));
-            let is_complete = answer.is_complete && answer.outcome == "done";
-            deposit.not_run &= answer.outcome == "not-run";
-            deposit.outcome = match answer.outcome.as_str() {
-                "done" if is_complete && answer.body.starts_with(&key) => Outcome::Completed,
+            let response = caller.post(entries[entry], "/orders/deposits", "amount", Some(&key));
+            let is_complete = response.is_complete && response.outcome == "done";
+            deposit.not_run &= response.outcome == "not-run";
+            deposit.outcome = match response.outcome.as_str() {
+                "done" if is_complete && response.body.starts_with(&key) => Outcome::Completed,
                 "done" if is_complete => Outcome::Crossed,
                 "not-run" => Outcome::NotRun,
                 _ => Outcome::Unknown,
--- a/crates/kingcup-support/src/caller.rs
+++ b/crates/kingcup-support/src/caller.rs
@@ -108,45 +108,45 @@
         if let Some(key) = key {
             request = request.header("Idempotency-Key", key);
         }
-        let Ok(mut response) = request.send(body) else { return Response::none() };
+        let Ok(mut http_response) = request.send(body) else { return Response::none() };
         let header = |name: &str| {
-            let value = response.headers().get(name).and_then(|value| value.to_str().ok());
+            let value = http_response.headers().get(name).and_then(|value| value.to_str().ok());
             value.unwrap_or_default().to_owned()
         };
-        let mut answer = Response {
-            status: response.status().as_u16(),
+        let mut response = Response {
+            status: http_response.status().as_u16(),
             code: header("kingcup-code").parse().unwrap_or(0),
             outcome: header("kingcup-outcome"),
             retry_after: header("retry-after").parse().ok(),
             ..Response::none()
         };
-        let mut reader = BufReader::new(response.body_mut().as_reader());
+        let mut reader = BufReader::new(http_response.body_mut().as_reader());
         loop {
             let mut line = String::new();
             match reader.read_line(&mut line) {
                 Ok(0) => {
-                    answer.is_complete = !answer.body.contains("event: error");
+                    response.is_complete = !response.body.contains("event: error");
                     break;
                 }
                 Ok(_) => {}
                 Err(_) => break,
             }
-            if answer.time_to_first_line.is_zero() {
-                answer.time_to_first_line = start.elapsed();
+            if response.time_to_first_line.is_zero() {
+                response.time_to_first_line = start.elapsed();
             }
-            answer.body.push_str(&line);
+            response.body.push_str(&line);
             if !keep_reading(&line) {
                 break;
             }
         }
-        answer
+        response
     }
 
     /// Fetches a page with GET, such as `/metrics` of an operator address.
     pub fn get(&self, address: SocketAddr, path: &str) -> Option<String> {
-        let mut response = self.agent.get(format!("http://{address}{path}")).call().ok()?;
+        let mut http_response = self.agent.get(format!("http://{address}{path}")).call().ok()?;
         let mut text = String::new();
-        response.body_mut().as_reader().read_to_string(&mut text).ok()?;
+        http_response.body_mut().as_reader().read_to_string(&mut text).ok()?;
         Some(text)
     }
 }
