--- a/crates/kingcup-load/src/environment.rs
+++ b/crates/kingcup-load/src/environment.rs
@@ -4,7 +4,7 @@
 
 use kingcup_support::{
     engine::{Engine, EngineConfig},
-    fleet::{Fleet, Plan, Program, document},
+    fleet::{Fleet, InstancePlan, Program, document},
     plain_service::PlainService,
     platform::{FakeUpstream, Platform},
 };
@@ -76,8 +76,9 @@
 fn start_fleet(platform: &Platform, policy: Policy) -> anyhow::Result<Fleet> {
     let mut plans = Vec::new();
     for domain in DOMAINS {
-        plans.push(Plan::control(&format!("control-{domain}"), domain));
-        let entries = (0..ENTRIES).map(|n| Plan::entry(&format!("entry-{domain}-{n}"), domain));
+        plans.push(InstancePlan::control(&format!("control-{domain}"), domain));
+        let entries =
+            (0..ENTRIES).map(|n| InstancePlan::entry(&format!("entry-{domain}-{n}"), domain));
         plans.extend(entries);
     }
     let program = Program {
--- a/crates/kingcup-load/src/record.rs
+++ b/crates/kingcup-load/src/record.rs
@@ -22,7 +22,7 @@
 
 use kingcup_support::{
     caller::Caller,
-    fleet::{Fleet, Plan, Program, document, token},
+    fleet::{Fleet, InstancePlan, Program, document, token},
     plain_service::PlainService,
     platform::{FakeUpstream, Platform},
     wait_until,
@@ -92,16 +92,16 @@
     let platform = Platform::start(Duration::ZERO);
     let plain = PlainService::start(Duration::ZERO);
     platform.add("orders", "orders", "north", plain.address(), FakeUpstream::Plain(plain.clone()));
-    let mut plans: Vec<Plan> =
-        (0..3).map(|n| Plan::control(&format!("control-{n}"), "north")).collect();
-    plans.extend((0..ENTRIES).map(|n| Plan::entry(&format!("entry-{n}"), "north")));
+    let mut plans: Vec<InstancePlan> =
+        (0..3).map(|n| InstancePlan::control(&format!("control-{n}"), "north")).collect();
+    plans.extend((0..ENTRIES).map(|n| InstancePlan::entry(&format!("entry-{n}"), "north")));
     let program = Program {
         path: std::env::current_exe()?,
         run: vec!["instance".to_owned()],
         init: vec!["init".to_owned()],
     };
     let running: Vec<String> = plans.iter().map(|plan| plan.instance.clone()).collect();
-    plans.push(Plan::entry(CLIENT, "elsewhere"));
+    plans.push(InstancePlan::entry(CLIENT, "elsewhere"));
     let mut fleet = Fleet::prepare(program, &plans, &platform, false)?;
     for instance in &running {
         fleet.run(instance)?;
--- a/crates/kingcup-support/src/fleet/mod.rs
+++ b/crates/kingcup-support/src/fleet/mod.rs
@@ -48,7 +48,7 @@
 
 /// The name, failure domain and roles of an instance to start.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct InstancePlan {
     /// The instance's name.
     pub instance: String,
     /// The instance's failure domain.
@@ -57,15 +57,19 @@
     pub roles: Vec<Role>,
 }
 
-impl Plan {
+impl InstancePlan {
     /// Creates an entry.
-    pub fn entry(instance: &str, domain: &str) -> Plan {
-        Plan { instance: instance.to_owned(), domain: domain.to_owned(), roles: vec![Role::Entry] }
+    pub fn entry(instance: &str, domain: &str) -> InstancePlan {
+        InstancePlan {
+            instance: instance.to_owned(),
+            domain: domain.to_owned(),
+            roles: vec![Role::Entry],
+        }
     }
 
     /// Creates a control instance.
-    pub fn control(instance: &str, domain: &str) -> Plan {
-        Plan {
+    pub fn control(instance: &str, domain: &str) -> InstancePlan {
+        InstancePlan {
             instance: instance.to_owned(),
             domain: domain.to_owned(),
             roles: vec![Role::Control],
@@ -75,7 +79,7 @@
 
 /// One instance of a fleet.
 struct Member {
-    plan: Plan,
+    plan: InstancePlan,
     settings: PathBuf,
     caller_address: SocketAddr,
     operator_address: SocketAddr,
@@ -104,7 +108,7 @@
     /// Returns an error if a file can't be written or initialising a data folder fails.
     pub fn prepare(
         program: Program,
-        plans: &[Plan],
+        plans: &[InstancePlan],
         platform: &Platform,
         static_shares: bool,
     ) -> anyhow::Result<Fleet> {
@@ -132,7 +136,7 @@
     /// Returns an error if an instance can't be started or does not respond in time.
     pub fn start(
         program: Program,
-        plans: &[Plan],
+        plans: &[InstancePlan],
         platform: &Platform,
         static_shares: bool,
     ) -> anyhow::Result<Fleet> {
@@ -155,8 +159,8 @@
     /// others.
     fn peers_of(
         &mut self,
-        plan: &Plan,
-        plans: &[Plan],
+        plan: &InstancePlan,
+        plans: &[InstancePlan],
         addresses: &BTreeMap<String, SocketAddr>,
     ) -> Vec<Peer> {
         let mut peers = Vec::new();
@@ -182,7 +186,7 @@
 
     fn add_member(
         &mut self,
-        plan: &Plan,
+        plan: &InstancePlan,
         peers: Vec<Peer>,
         platform: &Platform,
         static_shares: bool,
--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -5,7 +5,7 @@
 use kingcup_support::{
     caller::{Caller, Response},
     engine::EngineConfig,
-    fleet::{Fleet, Plan, document, token},
+    fleet::{Fleet, InstancePlan, document, token},
     plain_service::PlainService,
     platform::{FakeUpstream, Platform},
     proxy::Proxy,
@@ -188,7 +188,7 @@
     let plain = PlainService::start(Duration::ZERO);
     platform.add("orders", "orders", "north", plain.address(), FakeUpstream::Plain(plain.clone()));
     let roles = vec![Role::Entry, Role::Control];
-    let plan = Plan { instance: "all".to_owned(), domain: "north".to_owned(), roles };
+    let plan = InstancePlan { instance: "all".to_owned(), domain: "north".to_owned(), roles };
     let mut fleet = Fleet::prepare(daemon(), &[plan], &platform, false).expect("a prepared fleet");
     fleet.run_as("all", &daemon_with_full_disk(blocks)).expect("a started instance");
     assert!(wait_until(PATIENCE, || fleet.leader().is_some()));
--- a/tests/testsuite/record/disks.rs
+++ b/tests/testsuite/record/disks.rs
@@ -4,7 +4,7 @@
 
 use kingcup_support::{
     engine::EngineConfig,
-    fleet::{Fleet, Plan},
+    fleet::{Fleet, InstancePlan},
     platform::Platform,
     wait_until,
 };
@@ -123,8 +123,8 @@
 // must never count as written, and the others go on.
 #[test]
 fn a_full_disk_is_an_error_and_never_an_acknowledgement() {
-    let plans: Vec<Plan> =
-        (0..3).map(|n| Plan::control(&format!("control-{n}"), "north")).collect();
+    let plans: Vec<InstancePlan> =
+        (0..3).map(|n| InstancePlan::control(&format!("control-{n}"), "north")).collect();
     let platform = Platform::start(Duration::ZERO);
     let mut fleet = Fleet::prepare(daemon(), &plans, &platform, false).expect("a prepared fleet");
     let program = daemon_with_full_disk(24);
--- a/tests/testsuite/record/mod.rs
+++ b/tests/testsuite/record/mod.rs
@@ -14,7 +14,7 @@
 use kingcup_support::{
     caller::Caller,
     engine::EngineConfig,
-    fleet::{Fleet, Plan, token},
+    fleet::{Fleet, InstancePlan, token},
     platform::Platform,
     wait_until,
 };
@@ -73,8 +73,8 @@
 }
 
 fn controls_only(count: usize) -> Fleet {
-    let plans: Vec<Plan> =
-        (0..count).map(|n| Plan::control(&format!("control-{n}"), "north")).collect();
+    let plans: Vec<InstancePlan> =
+        (0..count).map(|n| InstancePlan::control(&format!("control-{n}"), "north")).collect();
     let platform = Platform::start(Duration::ZERO);
     Fleet::start(daemon(), &plans, &platform, false).expect("a running fleet")
 }
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -14,7 +14,7 @@
 use kingcup_support::{
     caller::{Caller, Response},
     engine::{Engine, EngineConfig, Prompt},
-    fleet::{Fleet, Plan, Program, document, token},
+    fleet::{Fleet, InstancePlan, Program, document, token},
     plain_service::PlainService,
     platform::{FakeUpstream, Platform},
     wait_until,
@@ -110,9 +110,9 @@
         platform.add(&name, "orders", domain, plain.address(), FakeUpstream::Plain(plain.clone()));
         plains.push(plain);
         for n in 0..entries {
-            plans.push(Plan::entry(&format!("entry-{domain}-{n}"), domain));
+            plans.push(InstancePlan::entry(&format!("entry-{domain}-{n}"), domain));
         }
-        plans.push(Plan::control(&format!("control-{domain}"), domain));
+        plans.push(InstancePlan::control(&format!("control-{domain}"), domain));
     }
     let fleet = Fleet::start(daemon(), &plans, &platform, false).expect("a running fleet");
     World { platform, engines, plains, fleet }
