--- a/crates/kingcup-load/src/experiment.rs
+++ b/crates/kingcup-load/src/experiment.rs
@@ -137,7 +137,7 @@
                 self.environment.fleet.kill("entry-north-0");
                 self.wait(third);
                 (self.progress)("restarting the entry");
-                self.environment.fleet.run("entry-north-0")?;
+                self.environment.fleet.start_instance("entry-north-0")?;
                 self.wait(third);
             }
             Scenario::TakeOver => self.kill_dispatchers(third * 2)?,
@@ -192,7 +192,7 @@
             (self.progress)(&format!("killing {dispatcher}, the dispatcher of {domain}"));
             self.environment.fleet.kill(&dispatcher);
             self.wait(span / 6);
-            self.environment.fleet.run(&dispatcher)?;
+            self.environment.fleet.start_instance(&dispatcher)?;
             self.wait(span / 6);
         }
         Ok(())
--- a/crates/kingcup-load/src/record.rs
+++ b/crates/kingcup-load/src/record.rs
@@ -104,7 +104,7 @@
     plans.push(InstancePlan::entry(CLIENT, "elsewhere"));
     let mut fleet = Fleet::prepare(program, &plans, &platform, false)?;
     for instance in &running {
-        fleet.run(instance)?;
+        fleet.start_instance(instance)?;
     }
     let is_up = || running.iter().all(|instance| fleet.status(instance).is_ok());
     anyhow::ensure!(
--- a/crates/kingcup-support/src/fleet/mod.rs
+++ b/crates/kingcup-support/src/fleet/mod.rs
@@ -142,7 +142,7 @@
     ) -> anyhow::Result<Fleet> {
         let mut fleet = Fleet::prepare(program, plans, platform, static_shares)?;
         for plan in plans {
-            fleet.run(&plan.instance)?;
+            fleet.start_instance(&plan.instance)?;
         }
         let up = wait_until(START_TIMEOUT, || {
             fleet.members.keys().all(|instance| fleet.status(instance).is_ok())
@@ -232,9 +232,9 @@
     /// # Errors
     ///
     /// Returns an error if the program can't be started.
-    pub fn run(&mut self, instance: &str) -> anyhow::Result<()> {
+    pub fn start_instance(&mut self, instance: &str) -> anyhow::Result<()> {
         let program = self.program.clone();
-        self.run_as(instance, &program)
+        self.start_instance_with(instance, &program)
     }
 
     /// Starts an instance that is not running, with another program.
@@ -242,7 +242,7 @@
     /// # Errors
     ///
     /// Returns an error if the program can't be started.
-    pub fn run_as(&mut self, instance: &str, program: &Program) -> anyhow::Result<()> {
+    pub fn start_instance_with(&mut self, instance: &str, program: &Program) -> anyhow::Result<()> {
         let log = File::options().create(true).append(true).open(self.log_path(instance))?;
         let member = self.members.get_mut(instance).context("no such instance")?;
         let child = Command::new(&program.path)
@@ -318,7 +318,7 @@
     /// # Panics
     ///
     /// Panics if the fleet has no such instance.
-    pub fn wait_for_end(&mut self, instance: &str, timeout: Duration) -> bool {
+    pub fn wait_for_exit(&mut self, instance: &str, timeout: Duration) -> bool {
         let member = self.members.get_mut(instance).expect("a known instance");
         let Some(child) = member.child.as_mut() else { return false };
         let mut exit_ok = None;
--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -137,5 +137,5 @@
     assert!(refused, "a late request is not refused");
     let (asked, answer) = caller.join().expect("a caller");
     assert!(answer.is_complete_for(&asked), "{answer:?}");
-    assert!(world.fleet.wait_for_end("entry-north-0", PATIENCE), "the entry does not end");
+    assert!(world.fleet.wait_for_exit("entry-north-0", PATIENCE), "the entry does not end");
 }
--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -159,7 +159,7 @@
     let refused = deposit(&world, "entry-north-0", "later", "50");
     assert_eq!((refused.code, refused.outcome.as_str()), (3005, "not-run"), "{refused:?}");
     assert_eq!(runs(&world, "later"), 0);
-    world.fleet.run("control-south").expect("a started control instance");
+    world.fleet.start_instance("control-south").expect("a started control instance");
     let mut last = None;
     let done = wait_until(PATIENCE, || {
         let answer = deposit(&world, "entry-north-0", "later", "50");
@@ -190,7 +190,7 @@
     let roles = vec![Role::Entry, Role::Control];
     let plan = InstancePlan { instance: "all".to_owned(), domain: "north".to_owned(), roles };
     let mut fleet = Fleet::prepare(daemon(), &[plan], &platform, false).expect("a prepared fleet");
-    fleet.run_as("all", &daemon_with_full_disk(blocks)).expect("a started instance");
+    fleet.start_instance_with("all", &daemon_with_full_disk(blocks)).expect("a started instance");
     assert!(wait_until(PATIENCE, || fleet.leader().is_some()));
     fleet.apply("orders", 0, &orders_document()).expect("the document in force");
     fleet.wait_for_dispatchers("orders").expect("a dispatcher");
@@ -212,7 +212,7 @@
     }
     assert!(failed(&fleet), "the disk never filled up");
     fleet.kill("all");
-    fleet.run("all").expect("a started instance on a larger disk");
+    fleet.start_instance("all").expect("a started instance on a larger disk");
     fleet.wait_for_dispatchers("orders").expect("a dispatcher");
     for key in keys.iter().rev().take(3) {
         deposit(key);
--- a/tests/testsuite/input.rs
+++ b/tests/testsuite/input.rs
@@ -228,7 +228,7 @@
         let limited = format!("ulimit -n {limit}; exec {daemon} \"$@\"");
         let run = vec!["-c".to_owned(), limited, "sh".to_owned()];
         let program = Program { path: "/bin/sh".into(), run, init: Vec::new() };
-        world.fleet.run_as("entry-north-0", &program).expect("a started entry");
+        world.fleet.start_instance_with("entry-north-0", &program).expect("a started entry");
         let entry = world.fleet.entry("entry-north-0");
         let is_served = |id: &str| {
             let asked = prompt(id, "alder", 3);
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -138,7 +138,7 @@
     assert!(kept.wait_for(5) && lost.wait_for(5));
     world.fleet.kill(&others[1]);
     assert!(kept.wait_for(10));
-    world.fleet.run(&others[1]).expect("a started entry");
+    world.fleet.start_instance(&others[1]).expect("a started entry");
     assert!(lost.wait_for(10), "the restarted entry does not serve");
     let answers = kept.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
--- a/tests/testsuite/record/disks.rs
+++ b/tests/testsuite/record/disks.rs
@@ -35,7 +35,7 @@
     let (_, before) = accepted(&fleet, &small_change(1));
     fleet.kill(lost);
     fs::remove_dir_all(fleet.data_folder(lost)).expect("a removed folder");
-    fleet.run(lost).expect("a started instance");
+    fleet.start_instance(lost).expect("a started instance");
     let add = Command::ChangeMembers { add: true, instance: lost.as_str().into(), replica: None };
     let added = || fleet.client().change(add.clone()).is_ok();
     assert!(wait_until(PATIENCE, added), "the new replica can't be added");
@@ -86,7 +86,7 @@
     let wipe = |fleet: &mut Fleet| {
         fleet.kill(&lost);
         fs::remove_dir_all(fleet.data_folder(&lost)).expect("a removed folder");
-        fleet.run(&lost).expect("a started instance");
+        fleet.start_instance(&lost).expect("a started instance");
     };
     let others: Vec<u64> = members(&fleet).iter().map(|m| m.id.1).collect();
     wipe(&mut fleet);
@@ -128,9 +128,9 @@
     let platform = Platform::start(Duration::ZERO);
     let mut fleet = Fleet::prepare(daemon(), &plans, &platform, false).expect("a prepared fleet");
     let program = daemon_with_full_disk(24);
-    fleet.run_as("control-0", &program).expect("a started instance");
-    fleet.run("control-1").expect("a started instance");
-    fleet.run("control-2").expect("a started instance");
+    fleet.start_instance_with("control-0", &program).expect("a started instance");
+    fleet.start_instance("control-1").expect("a started instance");
+    fleet.start_instance("control-2").expect("a started instance");
     wait_for_leader(&fleet);
     let mut base = 0;
     let failed = |fleet: &Fleet| {
@@ -175,7 +175,7 @@
     clients.into_iter().for_each(|client| client.join().expect("a client"));
     let (_, index) = accepted(&fleet, &small_change(9_999));
     assert!(index > 2_100, "too few changes for a snapshot: {index}");
-    fleet.run(&away).expect("a started instance");
+    fleet.start_instance(&away).expect("a started instance");
     assert!(wait_until(PATIENCE, || commit_of(&fleet, &away) >= index), "it does not catch up");
     fleet.kill(&away);
     let held = verify(&fleet.data_folder(&away)).expect("a sound data folder");
@@ -200,7 +200,9 @@
     }
     let again = ops::found(world.fleet.settings_path("control-north"), Some(&backup));
     assert!(again.is_err(), "a folder in use was overwritten");
-    controls.iter().for_each(|(control, _)| world.fleet.run(control).expect("a started instance"));
+    controls
+        .iter()
+        .for_each(|(control, _)| world.fleet.start_instance(control).expect("a started instance"));
     let restored = || {
         let status = world.fleet.status("entry-north-0");
         status.is_ok_and(|s| s.fresh && s.index > seen && s.revisions.get("tutor") == Some(&1))
--- a/tests/testsuite/record/mod.rs
+++ b/tests/testsuite/record/mod.rs
@@ -122,7 +122,7 @@
         world.fleet.kill(&leader);
         let again = accepted(&world.fleet, &small_change(round));
         assert_eq!(again, last, "a resend after the kill got another answer");
-        world.fleet.run(&leader).expect("a started control instance");
+        world.fleet.start_instance(&leader).expect("a started control instance");
     }
     stop.store(true, Ordering::SeqCst);
     let deposits = depositor.join().expect("a depositor");
@@ -155,7 +155,9 @@
     assert!(held.last_index > 0);
     let entry = world.fleet.status("entry-north-0").expect("a running entry");
     assert_eq!(entry.revisions.len(), 2, "the entry forgot its configuration");
-    controls.iter().for_each(|(control, _)| world.fleet.run(control).expect("a started instance"));
+    controls
+        .iter()
+        .for_each(|(control, _)| world.fleet.start_instance(control).expect("a started instance"));
     let all_back =
         || controls.iter().all(|(control, _)| commit_of(&world.fleet, control) >= last.1);
     assert!(wait_until(PATIENCE, all_back), "an accepted change is lost");
@@ -277,7 +279,7 @@
         start(&["north", "south", "west"], 2, &EngineConfig::default()).with_documents();
     let fleet = &mut world.fleet;
     let revision = leave_beside_isolated_control(fleet);
-    fleet.run("entry-north-0").expect("a started entry");
+    fleet.start_instance("entry-north-0").expect("a started entry");
     let newest = || {
         let status = fleet.status("entry-north-0");
         status.is_ok_and(|status| status.revisions.get("tutor") == Some(&revision))
@@ -300,7 +302,7 @@
     let revision = leave_beside_isolated_control(fleet);
     // What is sent meanwhile is lost, not held back.
     fleet.link("entry-north-0", "entry-north-1").set_down(true);
-    fleet.run("entry-north-0").expect("a started entry");
+    fleet.start_instance("entry-north-0").expect("a started entry");
     let knows = |wanted: u64| {
         let status = fleet.status("entry-north-0");
         status.is_ok_and(|status| status.revisions.get("tutor") == Some(&wanted))
