--- a/crates/kingcup-support/src/fleet/mod.rs
+++ b/crates/kingcup-support/src/fleet/mod.rs
@@ -350,7 +350,7 @@
     }
 
     /// Partitions a failure domain from all others, or reconnects it.
-    pub fn cut_domain(&self, domain: &str, cut: bool) {
+    pub fn partition_domain(&self, domain: &str, cut: bool) {
         let in_domain = |instance: &str| self.members[instance].plan.domain == domain;
         for ((from, to), proxy) in &self.links {
             if in_domain(from) != in_domain(to) {
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -113,12 +113,12 @@
     let north = Crowd::start("north", world.fleet.entry("entry-north-0"), "alder", 4, 10);
     let south = Crowd::start("south", world.fleet.entry("entry-south-0"), "birch", 4, 10);
     assert!(north.wait_for(5) && south.wait_for(5));
-    world.fleet.cut_domain("south", true);
+    world.fleet.partition_domain("south", true);
     // Long enough for both sides to notice: leases, sessions and freshness have run out.
     thread::sleep(Duration::from_secs(5));
     assert!(north.wait_for(10), "the north does not serve");
     assert!(south.wait_for(10), "the south does not serve");
-    world.fleet.cut_domain("south", false);
+    world.fleet.partition_domain("south", false);
     let fresh = || world.fleet.status("entry-south-0").is_ok_and(|status| status.fresh);
     assert!(wait_until(PATIENCE, fresh), "the south does not rejoin");
     assert!(north.wait_for(10) && south.wait_for(10));
