--- a/crates/kingcup-support/src/proxy.rs
+++ b/crates/kingcup-support/src/proxy.rs
@@ -19,13 +19,13 @@
 #[derive(Default)]
 struct Faults {
     /// Holds back data to the target; connections stay open.
-    cut_forth: AtomicBool,
+    cut_to_target: AtomicBool,
     /// Holds back data from the target; connections stay open.
     cut_from_target: AtomicBool,
     /// The delay added to each chunk of data.
     delay_ms: AtomicU64,
     /// A flag for each connection that stalls it permanently.
-    frozen: Mutex<Vec<Arc<AtomicBool>>>,
+    stalled: Mutex<Vec<Arc<AtomicBool>>>,
     /// Closes the listener, as if the target's process were gone.
     down: AtomicBool,
     streams: Mutex<Vec<TcpStream>>,
@@ -92,13 +92,13 @@
     /// Holds back data in both directions without closing connections, or forwards it again,
     /// including the data held back.
     pub fn cut(&self, cut: bool) {
-        self.cut_forth(cut);
+        self.cut_to_target(cut);
         self.faults.cut_from_target.store(cut, Ordering::SeqCst);
     }
 
     /// Holds back data to the target, or forwards it again.
-    pub fn cut_forth(&self, cut: bool) {
-        self.faults.cut_forth.store(cut, Ordering::SeqCst);
+    pub fn cut_to_target(&self, cut: bool) {
+        self.faults.cut_to_target.store(cut, Ordering::SeqCst);
     }
 
     /// Sets the delay of each chunk of data.
@@ -111,9 +111,9 @@
     /// # Panics
     ///
     /// Panics if one of its threads panicked.
-    pub fn freeze_open(&self) {
-        for frozen in self.faults.frozen.lock().expect("proxy state").drain(..) {
-            frozen.store(true, Ordering::SeqCst);
+    pub fn stall_open_connections(&self) {
+        for stalled in self.faults.stalled.lock().expect("proxy state").drain(..) {
+            stalled.store(true, Ordering::SeqCst);
         }
     }
 
@@ -122,7 +122,7 @@
     /// # Panics
     ///
     /// Panics if one of its threads panicked.
-    pub fn reset_open(&self) {
+    pub fn close_open_connections(&self) {
         for stream in self.faults.streams.lock().expect("proxy state").drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
@@ -130,8 +130,8 @@
 
     fn connect(&self, client: TcpStream, target: SocketAddr) {
         let Ok(server) = TcpStream::connect(target) else { return };
-        let frozen = Arc::new(AtomicBool::new(false));
-        self.faults.frozen.lock().expect("proxy state").push(frozen.clone());
+        let stalled = Arc::new(AtomicBool::new(false));
+        self.faults.stalled.lock().expect("proxy state").push(stalled.clone());
         for stream in [&client, &server] {
             let _ = stream.set_nodelay(true);
             if let Ok(copy) = stream.try_clone() {
@@ -142,8 +142,8 @@
             return;
         };
         let request_side =
-            Forwarder { faults: self.faults.clone(), frozen: frozen.clone(), to_target: true };
-        let response_side = Forwarder { faults: self.faults.clone(), frozen, to_target: false };
+            Forwarder { faults: self.faults.clone(), stalled: stalled.clone(), to_target: true };
+        let response_side = Forwarder { faults: self.faults.clone(), stalled, to_target: false };
         thread::spawn(move || request_side.run(client, server));
         thread::spawn(move || response_side.run(server_copy, client_copy));
     }
@@ -152,7 +152,7 @@
 /// Forwards the data of one direction of a connection.
 struct Forwarder {
     faults: Arc<Faults>,
-    frozen: Arc<AtomicBool>,
+    stalled: Arc<AtomicBool>,
     to_target: bool,
 }
 
@@ -181,8 +181,8 @@
     /// It is called before closing as well, so that a cut also hides the end of the connection.
     fn wait(&self) {
         let cut =
-            if self.to_target { &self.faults.cut_forth } else { &self.faults.cut_from_target };
-        while cut.load(Ordering::SeqCst) || self.frozen.load(Ordering::SeqCst) {
+            if self.to_target { &self.faults.cut_to_target } else { &self.faults.cut_from_target };
+        while cut.load(Ordering::SeqCst) || self.stalled.load(Ordering::SeqCst) {
             thread::sleep(POLL_INTERVAL);
         }
         thread::sleep(Duration::from_millis(self.faults.delay_ms.load(Ordering::SeqCst)));
--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -110,7 +110,7 @@
     let retried = deposit(&world, "entry-north-1", "claimed", "50");
     assert_eq!(retried.outcome, "unknown", "{retried:?}");
     assert_eq!(retried.code, 2008, "{retried:?}");
-    behind.reset_open();
+    behind.close_open_connections();
     behind.cut(false);
     assert!(runs(&world, "claimed") <= 1);
 }
@@ -140,7 +140,7 @@
     world.plains[0].set_delay(Duration::from_secs(3));
     let broken = deposit_later(&world, "entry-north-0", "broken");
     assert!(wait_until(PATIENCE, || runs(&world, "broken") == 1));
-    behind.reset_open();
+    behind.close_open_connections();
     let answer = broken.join().expect("a caller");
     assert_eq!((answer.code, answer.outcome.as_str()), (4002, "unknown"), "{answer:?}");
     let retried = deposit(&world, "entry-north-0", "broken", "50");
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -194,8 +194,8 @@
     let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
     assert!(crowd.wait_for(5));
     for other in &others {
-        world.fleet.link(other, &dispatcher).freeze_open();
-        world.fleet.link(&dispatcher, other).freeze_open();
+        world.fleet.link(other, &dispatcher).stall_open_connections();
+        world.fleet.link(&dispatcher, other).stall_open_connections();
     }
     assert!(crowd.wait_for(15), "nothing is served after the connections went silent");
     let replaced = || world.fleet.metrics(&others[0]).contains("kingcup_peer_connections_replaced");
@@ -212,8 +212,8 @@
     let (dispatcher, others) = split(&world, "north");
     let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
     assert!(crowd.wait_for(5));
-    world.fleet.link(&others[0], &others[1]).freeze_open();
-    world.fleet.link(&others[1], &others[0]).freeze_open();
+    world.fleet.link(&others[0], &others[1]).stall_open_connections();
+    world.fleet.link(&others[1], &others[0]).stall_open_connections();
     world.fleet.kill(&dispatcher);
     assert!(crowd.wait_for(15), "the backlog is not served");
     check_answers(&crowd.finish());
