--- a/crates/kingcup-load/src/experiment.rs
+++ b/crates/kingcup-load/src/experiment.rs
@@ -170,14 +170,14 @@
         result: &mut ExperimentResult,
     ) -> anyhow::Result<()> {
         (self.progress)(&format!("taking {TARGET_DOMAIN} out of service"));
-        let ordered = Instant::now();
+        let start = Instant::now();
         self.environment.fleet.set_domain(TARGET_DOMAIN, true)?;
-        result.config_in_force_s = Some(ordered.elapsed().as_secs_f64());
+        result.config_in_force_s = Some(start.elapsed().as_secs_f64());
         self.wait(third);
-        let last = self.environment.engines.iter().filter(|(domain, _)| domain == TARGET_DOMAIN);
-        let started = last.flat_map(|(_, engine)| engine.record().started);
-        let after = started.map(|(_, at)| at).filter(|at| *at > ordered).max();
-        result.takeout_s = Some(after.map_or(0.0, |at| (at - ordered).as_secs_f64()));
+        let engines = self.environment.engines.iter().filter(|(domain, _)| domain == TARGET_DOMAIN);
+        let started = engines.flat_map(|(_, engine)| engine.record().started);
+        let last_start = started.map(|(_, at)| at).filter(|at| *at > start).max();
+        result.takeout_s = Some(last_start.map_or(0.0, |at| (at - start).as_secs_f64()));
         (self.progress)(&format!("taking {TARGET_DOMAIN} back into service"));
         self.environment.fleet.set_domain(TARGET_DOMAIN, false)?;
         self.wait(third);
@@ -230,10 +230,12 @@
         let start = Instant::now();
         while start.elapsed() < span {
             thread::sleep(Duration::from_millis(1_000).min(span));
-            let done = self.load.log().requests.lock().expect("request log").len();
+            let answered = self.load.log().requests.lock().expect("request log").len();
             let running: u32 = self.environment.engines.iter().map(|(_, e)| e.running()).sum();
             let slots = self.environment.engines.len() as u32 * WARM_SLOTS;
-            (self.progress)(&format!("{done} requests answered, {running} of {slots} slots busy"));
+            (self.progress)(&format!(
+                "{answered} requests answered, {running} of {slots} slots busy"
+            ));
         }
     }
 }
@@ -289,10 +291,10 @@
     let slots = (DOMAINS.len() * ENGINES) as f64 * f64::from(WARM_SLOTS);
     let shares = ORGANISATIONS.iter().map(|(_, share)| f64::from(*share));
     let least_share = shares.fold(f64::INFINITY, f64::min);
-    let under_way = (slots + 1.0) * 2.0 * MAX_TOKENS as f64 / least_share;
+    let in_flight = (slots + 1.0) * 2.0 * MAX_TOKENS as f64 / least_share;
     let rate = slots / TOKEN_TIME.as_secs_f64();
-    let others = (DOMAINS.len() - 1) as f64 / DOMAINS.len() as f64;
-    under_way + rate * others * EXCHANGE_LAG.as_secs_f64() / least_share
+    let other_domains = (DOMAINS.len() - 1) as f64 / DOMAINS.len() as f64;
+    in_flight + rate * other_domains * EXCHANGE_LAG.as_secs_f64() / least_share
 }
 
 fn usages(environment: &Environment) -> BTreeMap<String, Usage> {
--- a/crates/kingcup-load/src/measure.rs
+++ b/crates/kingcup-load/src/measure.rs
@@ -71,11 +71,11 @@
     let indexes: BTreeMap<&str, usize> =
         ORGANISATIONS.iter().enumerate().map(|(n, (name, _))| (*name, n)).collect();
     let mut totals = vec![vec![0.0; window.steps() + 1]; ORGANISATIONS.len()];
-    for part in records.iter().flat_map(|record| &record.served) {
-        let Some(index) = indexes.get(part.organisation.as_str()) else { continue };
-        if window.contains(part.at) {
-            let step = window.step_of(part.at).min(window.steps());
-            totals[*index][step] += part.tokens as f64 / f64::from(ORGANISATIONS[*index].1);
+    for served in records.iter().flat_map(|record| &record.served) {
+        let Some(index) = indexes.get(served.organisation.as_str()) else { continue };
+        if window.contains(served.at) {
+            let step = window.step_of(served.at).min(window.steps());
+            totals[*index][step] += served.tokens as f64 / f64::from(ORGANISATIONS[*index].1);
         }
     }
     for series in &mut totals {
--- a/crates/kingcup-support/src/engine.rs
+++ b/crates/kingcup-support/src/engine.rs
@@ -1,9 +1,9 @@
 //! A fake model engine.
 //!
 //! It runs requests in a limited number of slots, streams one event per token and reports its load
-//! with a lag. The cost of a request is known only when it ends. An engine starts cold, and crashes
-//! if it gets more requests than its cold limit. Tests can make it stall in the middle of a
-//! response or lose its warm cache without notice.
+//! with a lag. The cost of a request is known only when it ends. An engine starts cold, and while it
+//! is cold it crashes if it gets more requests than its cold limit. Tests can make it stall in the
+//! middle of a response or lose its warm cache without notice.
 
 use std::{
     collections::VecDeque,
@@ -30,8 +30,8 @@
 
 /// How long an engine stays down after a crash.
 const CRASH_DOWNTIME: Duration = Duration::from_millis(2_500);
-/// How long an engine that lost its cache still accepts its warm limit, slowly, before running
-/// more than its cold limit crashes it.
+/// How long an engine that lost its cache still runs its warm limit, slowly. After that, a request
+/// beyond its cold limit crashes it.
 const COOLING_PERIOD: Duration = Duration::from_millis(1_500);
 /// The factor by which prefill is slower during [`COOLING_PERIOD`].
 const COOLING_SLOWDOWN: u32 = 8;
@@ -379,8 +379,8 @@
     fn try_start(&self, prompt: &Prompt) -> bool {
         let state = self;
         let mut record = state.record.lock().expect("engine record");
-        let mut down = state.down_until.lock().expect("engine state");
-        if down.is_some_and(|until| Instant::now() < until) {
+        let mut down_until = state.down_until.lock().expect("engine state");
+        if down_until.is_some_and(|until| Instant::now() < until) {
             return false;
         }
         if self.is_loading() || self.setup.lock().expect("engine setup").drained {
@@ -389,7 +389,7 @@
         let running = state.running.load(Ordering::SeqCst);
         if !self.is_warm() && !self.is_cooling() && running >= state.config.cold_slots {
             record.crashes += 1;
-            *down = Some(Instant::now() + CRASH_DOWNTIME);
+            *down_until = Some(Instant::now() + CRASH_DOWNTIME);
             return false;
         }
         if running >= state.config.warm_slots {
@@ -417,13 +417,13 @@
     }
 
     fn is_cooling(&self) -> bool {
-        let cooling = self.cooling_until.lock().expect("engine state");
-        cooling.is_some_and(|until| Instant::now() < until)
+        let cooling_until = self.cooling_until.lock().expect("engine state");
+        cooling_until.is_some_and(|until| Instant::now() < until)
     }
 
     fn is_down(&self) -> bool {
-        let down = self.down_until.lock().expect("engine state");
-        let has_crashed = down.is_some_and(|until| Instant::now() < until);
+        let down_until = self.down_until.lock().expect("engine state");
+        let has_crashed = down_until.is_some_and(|until| Instant::now() < until);
         has_crashed || self.stopped.load(Ordering::SeqCst)
     }
 
@@ -448,12 +448,12 @@
             if stream.write(event.as_bytes()).is_err() {
                 return false;
             }
-            let part = ServedTokens {
+            let served = ServedTokens {
                 organisation: prompt.organisation.clone(),
                 at: Instant::now(),
                 tokens: 1,
             };
-            self.record.lock().expect("engine record").served.push(part);
+            self.record.lock().expect("engine record").served.push(served);
         }
         stream.end().is_ok()
     }
--- a/crates/kingcup-support/src/fleet/mod.rs
+++ b/crates/kingcup-support/src/fleet/mod.rs
@@ -58,7 +58,7 @@
 }
 
 impl InstancePlan {
-    /// Creates an entry.
+    /// Creates the plan of an entry.
     pub fn entry(instance: &str, domain: &str) -> InstancePlan {
         InstancePlan {
             instance: instance.to_owned(),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Creates a control instance.
+    /// Creates the plan of a control instance.
     pub fn control(instance: &str, domain: &str) -> InstancePlan {
         InstancePlan {
             instance: instance.to_owned(),
@@ -149,7 +149,7 @@
         });
         ensure!(
             up,
-            "an instance did not respond in time; the logs are in {}",
+            "an instance did not respond within {START_TIMEOUT:?}; the logs are in {}",
             fleet.folder.display()
         );
         Ok(fleet)
--- a/crates/kingcup-support/src/lib.rs
+++ b/crates/kingcup-support/src/lib.rs
@@ -27,8 +27,9 @@
 
 /// The ports that instances listen on.
 ///
-/// They are below the ephemeral range. The system could otherwise give a port to another connection
-/// or listener between its choice and the instance's start.
+/// They are below the ephemeral range, from which the system picks ports for connections and for
+/// listeners without a port. It could otherwise give away a port after it was chosen and before the
+/// instance listens on it.
 const PORTS: std::ops::Range<u16> = 12_000..32_000;
 
 /// The next port to try. Test processes start at different ones, so that they rarely collide.
