--- a/crates/kingcup-load/src/drive.rs
+++ b/crates/kingcup-load/src/drive.rs
@@ -22,8 +22,8 @@
     protocol::{
         Message, Pool,
         dispatch::{
-            DispatchBody, DispatchMessage, Ending, Finished, Grant, GrantId, Served, Session,
-            SessionTag, Waiting,
+            DispatchBody, DispatchMessage, FinishedGrant, Grant, GrantId, GrantOutcome,
+            QueuedRequests, ServiceReceived, Session, SessionTag,
         },
         frame::Channel,
         lease::{Claim, LeaseMessage},
@@ -101,7 +101,7 @@
     received: u64,
     waiting: BTreeMap<Organisation, u32>,
     changed: BTreeSet<Organisation>,
-    finished: Vec<Finished>,
+    finished: Vec<FinishedGrant>,
     progress: Vec<(GrantId, u32)>,
 }
 
@@ -109,7 +109,7 @@
 #[derive(Default)]
 struct PeerDispatcher {
     session: Option<SessionTag>,
-    heard: u64,
+    last_report: u64,
     granted: u64,
     waiting: BTreeMap<Organisation, u32>,
 }
@@ -223,7 +223,7 @@
                     domains: Vec::new(),
                     upstreams: Vec::new(),
                     orders: Vec::new(),
-                    whole: None,
+                    configuration: None,
                 };
                 self.deliver(to, Message::Record(state));
             }
@@ -257,12 +257,12 @@
                 let dispatcher = self.peer_dispatchers.entry(message.pool).or_default();
                 *dispatcher =
                     PeerDispatcher { session: Some(session.tag()), ..PeerDispatcher::default() };
-                dispatcher.waiting.extend(waiting.into_iter().map(|Waiting(o, n)| (o, n)));
+                dispatcher.waiting.extend(waiting.into_iter().map(|QueuedRequests(o, n)| (o, n)));
             }
             (DispatchBody::Report { seq, waiting, .. }, None) => {
                 let dispatcher = self.peer_dispatchers.entry(message.pool).or_default();
-                dispatcher.heard = seq;
-                dispatcher.waiting.extend(waiting.into_iter().map(|Waiting(o, n)| (o, n)));
+                dispatcher.last_report = seq;
+                dispatcher.waiting.extend(waiting.into_iter().map(|QueuedRequests(o, n)| (o, n)));
             }
             _ => {}
         }
@@ -287,10 +287,10 @@
                 }
             }
             dispatcher.granted += grants.len() as u64;
-            let (heard, granted) = (dispatcher.heard, dispatcher.granted);
+            let (last_report, granted) = (dispatcher.last_report, dispatcher.granted);
             let sender = dispatcher_of(&pool.0);
             if !grants.is_empty() {
-                let body = DispatchBody::Grants { session, heard, grants };
+                let body = DispatchBody::Grants { session, last_report, grants };
                 self.deliver_dispatch(&sender, pool, body);
             } else if self.now.is_multiple_of(1_000) {
                 let body = DispatchBody::Ack { session, granted, offers: Vec::new() };
@@ -312,7 +312,7 @@
                 let waiting: BTreeMap<Organisation, u32> = mine.map(|o| (o, 3)).collect();
                 let open = DispatchBody::Open {
                     session: Session(1, 1),
-                    waiting: waiting.iter().map(|(o, n)| Waiting(o.clone(), *n)).collect(),
+                    waiting: waiting.iter().map(|(o, n)| QueuedRequests(o.clone(), *n)).collect(),
                     held: Vec::new(),
                 };
                 let peer_entry = PeerEntry {
@@ -345,7 +345,10 @@
                 session: Session(1, 1).tag(),
                 seq: peer_entry.seq,
                 received: peer_entry.received,
-                waiting: changed.into_iter().map(|o| Waiting(o.clone(), counts[&o])).collect(),
+                waiting: changed
+                    .into_iter()
+                    .map(|o| QueuedRequests(o.clone(), counts[&o]))
+                    .collect(),
                 finished: std::mem::take(&mut peer_entry.finished),
                 progress: std::mem::take(&mut peer_entry.progress),
             };
@@ -357,10 +360,10 @@
         while self.running.front().is_some_and(|(due, ..)| *due <= self.now) {
             let Some((_, key, id)) = self.running.pop_front() else { break };
             let Some(peer_entry) = self.peer_entries.get_mut(&key) else { continue };
-            let ending = Ending::Completed;
-            peer_entry.finished.push(Finished {
+            let outcome = GrantOutcome::Completed;
+            peer_entry.finished.push(FinishedGrant {
                 id,
-                ending,
+                outcome,
                 cost: REQUEST_COST,
                 first_byte_ms: Some(400),
             });
@@ -411,7 +414,8 @@
         for pool in 0..DISPATCHED_POOLS {
             for other in 1..DOMAINS {
                 let total = self.now as i64 * 1_000;
-                let served = (0..BACKLOGGED).map(|o| Served(organisation(o).tag(), total, 0));
+                let served =
+                    (0..BACKLOGGED).map(|o| ServiceReceived(organisation(o).tag(), total, 0));
                 let body = DispatchBody::Exchange {
                     free: 0,
                     least: Some(total),
--- a/crates/kingcup-load/src/slopes.rs
+++ b/crates/kingcup-load/src/slopes.rs
@@ -24,10 +24,11 @@
         Message, Pool,
         consensus::{LogEntry, Payload},
         dispatch::{
-            DispatchBody, DispatchMessage, Ending, Finished, Grant, GrantId, Session, Waiting,
+            DispatchBody, DispatchMessage, FinishedGrant, Grant, GrantId, GrantOutcome,
+            QueuedRequests, Session,
         },
         frame::Channel,
-        record::{ClaimId, Command as Change, KeptAnswer, RecordMessage, RequestKey, Settlement},
+        record::{ClaimId, Command as Change, RecordMessage, RequestKey, Settlement, StoredAnswer},
     },
     state::record::Record,
 };
@@ -138,7 +139,7 @@
     let mut now = Millis(1_000);
     for (n, entry) in entries.iter().enumerate() {
         let mine = backlogged.iter().skip(n % 4).step_by(4);
-        let waiting = mine.map(|o| Waiting(o.clone(), 1_000_000)).collect();
+        let waiting = mine.map(|o| QueuedRequests(o.clone(), 1_000_000)).collect();
         let body = DispatchBody::Open { session: Session(1, 1), waiting, held: Vec::new() };
         dispatcher.on_message(now, entry, 1, &body, &mut out);
     }
@@ -176,9 +177,9 @@
             seq: *seq,
             received: *received,
             waiting: Vec::new(),
-            finished: vec![Finished {
+            finished: vec![FinishedGrant {
                 id,
-                ending: Ending::Completed,
+                outcome: GrantOutcome::Completed,
                 cost: 300,
                 first_byte_ms: Some(400),
             }],
@@ -231,7 +232,7 @@
     let before = resident_memory();
     let (mut next, mut bytes, mut messages) = (1_u64, 0, 0);
     let mut open_requests = std::collections::VecDeque::new();
-    let mut heard = 0;
+    let mut last_report = 0;
     let mut excluded = std::time::Duration::ZERO;
     let mut start = Instant::now();
     let mut measured_from = 0;
@@ -249,7 +250,7 @@
         entry_machine.admit(now, arrival, &document, &mut out);
         let id = GrantId(1, next);
         let grant = Grant { id, organisation, upstream: "engine-01".into(), address: address() };
-        let body = DispatchBody::Grants { session, heard, grants: vec![grant] };
+        let body = DispatchBody::Grants { session, last_report, grants: vec![grant] };
         let message = DispatchMessage { pool: pool(), term: 1, origin: None, body };
         entry_machine.on_message(now, &view, &holder, &message, &mut out);
         open_requests.push_back(next);
@@ -268,7 +269,7 @@
         for output in out.drain(..) {
             let EntryOutput::Send(_, message) = output else { continue };
             if let DispatchBody::Report { seq, .. } = &message.body {
-                heard = *seq;
+                last_report = *seq;
             }
             let excluded_start = Instant::now();
             messages += 1;
@@ -310,7 +311,7 @@
             key: format!("deposit-{n:012}"),
         };
         let id = ClaimId(n as u64, 1);
-        let answer = KeptAnswer {
+        let answer = StoredAnswer {
             status: 200,
             content_type: "application/json".to_owned(),
             body: Some("{\"accepted\":true}".to_owned()),
@@ -369,7 +370,7 @@
         domains: Vec::new(),
         upstreams: Vec::new(),
         orders: Vec::new(),
-        whole: None,
+        configuration: None,
     };
     let mut out = Vec::new();
     let start = Instant::now();
--- a/src/kingcupgrade/coordination/dispatcher/recovery.rs
+++ b/src/kingcupgrade/coordination/dispatcher/recovery.rs
@@ -5,7 +5,7 @@
 use super::{DIAL_FAILURE_GRACE, Dispatcher, OutstandingGrant, SESSION_TIMEOUT};
 use crate::{
     core::{Instance, Millis},
-    protocol::dispatch::{GrantId, Held, Session, SessionTag, Waiting},
+    protocol::dispatch::{GrantId, GrantInUse, QueuedRequests, Session, SessionTag},
 };
 
 impl Dispatcher {
@@ -15,8 +15,8 @@
         entry: &Instance,
         session: Session,
         knows_term: bool,
-        waiting: &[Waiting],
-        held: &[Held],
+        waiting: &[QueuedRequests],
+        held: &[GrantInUse],
     ) {
         if !self.demand.open(now, entry, session, knows_term) {
             return;
@@ -47,7 +47,7 @@
     }
 
     /// Counts a grant that an entry holds, unless it is already known.
-    fn adopt(&mut self, entry: &Instance, held: &Held) {
+    fn adopt(&mut self, entry: &Instance, held: &GrantInUse) {
         if self.outstanding.contains_key(&held.id) {
             return;
         }
@@ -133,7 +133,7 @@
             return;
         }
         let reserved = self.static_owners.iter().filter(|(_, owner)| may_use_share(owner));
-        let part = self.document.slots.static_part();
+        let part = self.document.slots.static_slots();
         self.reserved = reserved.map(|(name, _)| (name.clone(), part)).collect();
     }
 
--- a/src/kingcupgrade/coordination/entry/mod.rs
+++ b/src/kingcupgrade/coordination/entry/mod.rs
@@ -21,7 +21,7 @@
     core::{Code, Document, FailureDomain, Instance, Millis, Organisation, Service, UpstreamName},
     protocol::{
         Pool,
-        dispatch::{DispatchBody, DispatchMessage, Ending, Grant, GrantId},
+        dispatch::{DispatchBody, DispatchMessage, Grant, GrantId, GrantOutcome},
     },
 };
 
@@ -293,9 +293,9 @@
     ) {
         self.close_unknown_session(from, message, out);
         match &message.body {
-            DispatchBody::Grants { session, heard, grants } => {
+            DispatchBody::Grants { session, last_report, grants } => {
                 let Some(state) = self.current_session(&message.pool, *session) else { return };
-                if !state.may_use_grants(now, *heard) {
+                if !state.may_use_grants(now, *last_report) {
                     self.reopen_session(now, &message.pool, out);
                     return;
                 }
@@ -351,10 +351,10 @@
         match request.stage {
             Stage::Queued => {}
             Stage::Claiming { pool, grant } => {
-                self.end_grant(&pool, grant.id, Ending::Unused, 0, None);
+                self.end_grant(&pool, grant.id, GrantOutcome::Unused, 0, None);
             }
             Stage::Sent { pool, grant } => {
-                self.end_grant(&pool, grant, Ending::Unused, 0, None);
+                self.end_grant(&pool, grant, GrantOutcome::Unused, 0, None);
             }
         }
     }
--- a/src/kingcupgrade/transport/callers/relay.rs
+++ b/src/kingcupgrade/transport/callers/relay.rs
@@ -18,8 +18,8 @@
         entry::{AttemptEnd, RequestId},
         node::Input,
     },
-    core::{Code, Kind},
-    protocol::record::KeptAnswer,
+    core::{Code, ServiceKind},
+    protocol::record::StoredAnswer,
     transport::{Event, Verdict, http::PendingAnswer, upstream},
 };
 
@@ -63,7 +63,7 @@
                     return;
                 }
             };
-            let is_stream = self.admitted.document.kind == Kind::ModelEngine;
+            let is_stream = self.admitted.document.kind == ServiceKind::ModelEngine;
             let next =
                 if is_stream { self.stream(answer, address) } else { self.whole(answer, address) };
             match next {
@@ -95,7 +95,7 @@
         end: AttemptEnd,
         cost: u32,
         first_byte: Option<Duration>,
-        kept: Option<KeptAnswer>,
+        kept: Option<StoredAnswer>,
     ) {
         let first_byte_ms = first_byte.map(|d| u32::try_from(d.as_millis()).unwrap_or(u32::MAX));
         let id = self.id;
@@ -123,7 +123,7 @@
             self.end(AttemptEnd::Broken, 0, Some(first_byte), None);
             return Some(answer);
         };
-        let kept = self.admitted.keyed.as_ref().map(|_| KeptAnswer {
+        let kept = self.admitted.keyed.as_ref().map(|_| StoredAnswer {
             status,
             content_type: content_type.clone(),
             body: String::from_utf8(body.clone()).ok(),
--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -24,7 +24,7 @@
     core::{Instance, Millis, clock::Clock, fleet::FleetSettings, settings::Role},
     protocol::{
         Message,
-        fleet::{ListingNews, LoadReport, Resident},
+        fleet::{FleetEntry, ListingUpdate, LoadReport},
         record::{Command, Reply},
     },
     state::{
@@ -56,11 +56,11 @@
     /// The configuration or the standing of a failure domain changed.
     View(Arc<View>),
     /// The entries of the fleet are these.
-    Entries(Vec<Resident>),
+    Entries(Vec<FleetEntry>),
     /// Another entry told of its load.
     Heard(Instance, LoadReport),
     /// Another entry tells what it knows of the platform's list.
-    Listed(Instance, ListingNews),
+    Listed(Instance, ListingUpdate),
     /// Another entry wants the platform's list.
     ListingWanted(Instance),
 }
@@ -133,7 +133,7 @@
         instance,
         address: (settings.ip, port).into(),
         fleet_key: OPEN_FLEET_KEY.into(),
-        addresses: Arc::new(move |instance| book.address_of(instance)),
+        addresses: Arc::new(move |instance| book.instance_address(instance)),
         sink: Arc::new(sink),
     }
 }
--- a/tests/testsuite/record/disks.rs
+++ b/tests/testsuite/record/disks.rs
@@ -42,7 +42,7 @@
     let votes =
         || members(&fleet).iter().filter(|m| m.voter && m.id.0.as_str() == lost).count() == 2;
     assert!(wait_until(PATIENCE, votes), "the new replica gets no vote");
-    let old = Some(kingcupgrade::protocol::consensus::FOUNDING_REPLICA);
+    let old = Some(kingcupgrade::protocol::consensus::INITIAL_REPLICA);
     let remove =
         Command::ChangeMembers { add: false, instance: lost.as_str().into(), replica: old };
     let removed = || fleet.client().change(remove.clone()).is_ok();
@@ -196,9 +196,9 @@
     for (control, _) in &controls {
         world.fleet.kill(control);
         fs::remove_dir_all(world.fleet.data_folder(control)).expect("a removed folder");
-        ops::found(world.fleet.settings_path(control), Some(&backup)).expect("a restored folder");
+        ops::init(world.fleet.settings_path(control), Some(&backup)).expect("a restored folder");
     }
-    let again = ops::found(world.fleet.settings_path("control-north"), Some(&backup));
+    let again = ops::init(world.fleet.settings_path("control-north"), Some(&backup));
     assert!(again.is_err(), "a folder in use was overwritten");
     controls
         .iter()
@@ -213,6 +213,6 @@
     let mut bytes = fs::read(&backup).expect("a backup");
     bytes[40] ^= 1;
     fs::write(&damaged, bytes).expect("a damaged backup");
-    let refused = ops::found(world.fleet.settings_path("control-north"), Some(&damaged));
+    let refused = ops::init(world.fleet.settings_path("control-north"), Some(&damaged));
     assert!(refused.is_err());
 }
