--- a/src/kingcupgrade/coordination/traffic/budget.rs
+++ b/src/kingcupgrade/coordination/traffic/budget.rs
@@ -1,70 +1,71 @@
-//! The budget of repeats.
+//! The retry budget.
 //!
-//! When upstreams fail, every request that is sent again is load on those that are left. The fleet
-//! as a whole may send a fixed part of its requests again; an entry spends its own part of that
-//! without asking anyone, so the sum holds also while entries can't reach each other.
+//! When upstreams fail, every retry adds load to those that are left. The fleet as a whole may
+//! retry a fixed fraction of its requests. Each entry spends its own share of that without
+//! coordination, so the limit also holds while entries can't reach each other.
 
 use std::collections::VecDeque;
 
 use crate::core::Millis;
 
-/// Parts of the window that are counted by themselves; a finer count is dropped sooner.
+/// The number of slices of the window. Each is counted and dropped as a whole, so more slices drop
+/// old counts sooner.
 const SLICES: u64 = 10;
-/// The part of the allowance that is spent. Arrivals are counted at the upstreams a little later
-/// than they are sent here, and so fall into windows that this entry can't see exactly.
-const SAFE_PART: f64 = 0.7;
+/// The fraction of the allowance that is spent. Arrivals are counted at the upstreams a little
+/// after they are sent here, and so fall into windows that this entry can't see exactly.
+const SAFETY_FRACTION: f64 = 0.7;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     index: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// Requests and repeats of one service in a sliding window.
+/// Requests and retries of one service in a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     slices: VecDeque<Slice>,
 }
 
-/// What the fleet may repeat.
+/// How many retries the whole fleet may make in a window.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
-    /// Repeats for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats beyond that, by the whole fleet.
+    /// Retries allowed in addition, by the whole fleet.
     pub slack: f64,
-    /// The window.
+    /// The length of the sliding window.
     pub window: Millis,
 }
 
 impl RetryBudget {
     /// Counts a caller's request.
     pub fn on_request(&mut self, now: Millis, allowance: Allowance) {
-        self.slice(now, allowance).requests += 1;
+        self.current_slice(now, allowance).requests += 1;
     }
 
-    /// Spends a repeat if there is one left for this entry, one of `entries`.
-    pub fn try_repeat(&mut self, now: Millis, allowance: Allowance, entries: usize) -> bool {
-        self.slice(now, allowance);
+    /// Spends a retry if this entry, one of `entries`, has one left; returns whether it had.
+    pub fn try_retry(&mut self, now: Millis, allowance: Allowance, entries: usize) -> bool {
+        self.current_slice(now, allowance);
         let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
-        let repeats: u32 = self.slices.iter().map(|slice| slice.repeats).sum();
+        let retries: u32 = self.slices.iter().map(|slice| slice.retries).sum();
         let slack = allowance.slack / entries.max(1) as f64;
-        let allowed = SAFE_PART * (allowance.ratio * f64::from(requests) + slack);
-        if f64::from(repeats) + 1.0 > allowed {
+        let allowed = SAFETY_FRACTION * (allowance.ratio * f64::from(requests) + slack);
+        if f64::from(retries) + 1.0 > allowed {
             return false;
         }
-        self.slice(now, allowance).repeats += 1;
+        self.current_slice(now, allowance).retries += 1;
         true
     }
 
-    fn slice(&mut self, now: Millis, allowance: Allowance) -> &mut Slice {
+    fn current_slice(&mut self, now: Millis, allowance: Allowance) -> &mut Slice {
         let length = (allowance.window.0 / SLICES).max(1);
         let index = now.0 / length;
         self.slices.retain(|slice| slice.index + SLICES > index);
         if self.slices.back().is_none_or(|slice| slice.index != index) {
             self.slices.push_back(Slice { index, ..Slice::default() });
         }
-        self.slices.back_mut().expect("a slice was pushed")
+        self.slices.back_mut().expect("the current slice exists")
     }
 }
