--- a/crates/kingcup-support/src/caller.rs
+++ b/crates/kingcup-support/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of a fleet.
+//! An HTTP client that calls a fleet's entries as an organisation.
 
 use std::{
     io::{BufRead, BufReader, Read},
@@ -8,55 +8,55 @@
 
 use crate::engine::Prompt;
 
-/// How long a caller waits.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The total timeout of a request, including reading the body.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a caller got.
+/// The response to a request, as far as it was received.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    /// The HTTP status, zero if there was no answer.
+pub struct Response {
+    /// The HTTP status, or zero if no response head was received.
     pub status: u16,
-    /// The numbered result, zero if there was none.
+    /// The `kingcup-code` header, or zero if it is missing.
     pub code: u16,
-    /// The outcome header.
+    /// The `kingcup-outcome` header, or an empty string if it is missing.
     pub outcome: String,
-    /// When to come back, in seconds.
+    /// The `retry-after` header, in seconds.
     pub retry_after: Option<u64>,
-    /// The body, as far as it came.
+    /// The body received before the end, an error or an early disconnect.
     pub body: String,
-    /// Whether the body ended as it should.
-    pub is_whole: bool,
-    /// Time to the first event or to the whole answer.
-    pub first: Duration,
+    /// Whether the body was read to its end and contains no `error` event.
+    pub is_complete: bool,
+    /// Time from sending the request to the first line of the body; zero if there was none.
+    pub time_to_first_line: Duration,
 }
 
-impl Answer {
-    fn none() -> Answer {
-        Answer {
+impl Response {
+    fn none() -> Response {
+        Response {
             status: 0,
             code: 0,
             outcome: String::new(),
             retry_after: None,
             body: String::new(),
-            is_whole: false,
-            first: Duration::ZERO,
+            is_complete: false,
+            time_to_first_line: Duration::ZERO,
         }
     }
 
-    /// Tells whether it is the whole answer to `prompt` and of nothing else.
-    pub fn answers(&self, prompt: &Prompt) -> bool {
+    /// Returns whether the body is complete and consists of exactly the events of `prompt`.
+    pub fn is_complete_for(&self, prompt: &Prompt) -> bool {
         let expected = (0..prompt.tokens).map(|n| format!("data: {} {n}\n\n", prompt.id));
-        self.is_whole && self.body == expected.collect::<String>()
+        self.is_complete && self.body == expected.collect::<String>()
     }
 
-    /// Tells whether it holds events of another prompt.
-    pub fn is_crossed(&self, prompt: &Prompt) -> bool {
+    /// Returns whether the body contains events of another prompt.
+    pub fn contains_other_prompt(&self, prompt: &Prompt) -> bool {
         let mut events = self.body.lines().filter_map(|line| line.strip_prefix("data: "));
         events.any(|event| !event.starts_with('{') && event.split(' ').next() != Some(&prompt.id))
     }
 }
 
-/// A caller with a token.
+/// An HTTP client with an organisation's bearer token.
 #[derive(Clone, Debug)]
 pub struct Caller {
     token: String,
@@ -64,40 +64,42 @@
 }
 
 impl Caller {
-    /// Makes a caller.
+    /// Creates a client that opens a new connection for each request.
     pub fn new(token: &str) -> Caller {
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(PATIENCE))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .max_idle_connections(0)
             .http_status_as_error(false)
             .build();
         Caller { token: token.to_owned(), agent: ureq::Agent::new_with_config(config) }
     }
 
-    /// Asks an engine's service and reads the answer to its end.
+    /// Sends a prompt to a service of model engines and reads the whole response.
     ///
     /// # Panics
     ///
-    /// Never: a prompt is plain data.
-    pub fn prompt(&self, entry: SocketAddr, service: &str, prompt: &Prompt) -> Answer {
-        let body = serde_json::to_string(prompt).expect("a prompt is plain data");
+    /// Never: serializing a [`Prompt`] can't fail.
+    pub fn prompt(&self, entry: SocketAddr, service: &str, prompt: &Prompt) -> Response {
+        let body = serde_json::to_string(prompt).expect("a prompt can be serialized");
         self.post(entry, &format!("/{service}/generate"), &body, None)
     }
 
-    /// Sends a request and reads the answer to its end.
-    pub fn post(&self, entry: SocketAddr, path: &str, body: &str, key: Option<&str>) -> Answer {
+    /// Sends a POST request and reads the whole response.
+    pub fn post(&self, entry: SocketAddr, path: &str, body: &str, key: Option<&str>) -> Response {
         self.post_with(entry, path, body, key, |_| true)
     }
 
-    /// Sends a request and reads the answer line by line while `go_on` holds; then hangs up.
+    /// Sends a POST request and reads the response line by line.
+    ///
+    /// Disconnects once `keep_reading` returns false for a line.
     pub fn post_with(
         &self,
         entry: SocketAddr,
         path: &str,
         body: &str,
         key: Option<&str>,
-        mut go_on: impl FnMut(&str) -> bool,
-    ) -> Answer {
+        mut keep_reading: impl FnMut(&str) -> bool,
+    ) -> Response {
         let start = Instant::now();
         let mut request = self
             .agent
@@ -106,45 +108,45 @@
         if let Some(key) = key {
             request = request.header("Idempotency-Key", key);
         }
-        let Ok(mut response) = request.send(body) else { return Answer::none() };
+        let Ok(mut http_response) = request.send(body) else { return Response::none() };
         let header = |name: &str| {
-            let value = response.headers().get(name).and_then(|value| value.to_str().ok());
+            let value = http_response.headers().get(name).and_then(|value| value.to_str().ok());
             value.unwrap_or_default().to_owned()
         };
-        let mut answer = Answer {
-            status: response.status().as_u16(),
+        let mut response = Response {
+            status: http_response.status().as_u16(),
             code: header("kingcup-code").parse().unwrap_or(0),
             outcome: header("kingcup-outcome"),
             retry_after: header("retry-after").parse().ok(),
-            ..Answer::none()
+            ..Response::none()
         };
-        let mut reader = BufReader::new(response.body_mut().as_reader());
+        let mut reader = BufReader::new(http_response.body_mut().as_reader());
         loop {
             let mut line = String::new();
             match reader.read_line(&mut line) {
                 Ok(0) => {
-                    answer.is_whole = !answer.body.contains("event: error");
+                    response.is_complete = !response.body.contains("event: error");
                     break;
                 }
                 Ok(_) => {}
                 Err(_) => break,
             }
-            if answer.first.is_zero() {
-                answer.first = start.elapsed();
+            if response.time_to_first_line.is_zero() {
+                response.time_to_first_line = start.elapsed();
             }
-            answer.body.push_str(&line);
-            if !go_on(&line) {
+            response.body.push_str(&line);
+            if !keep_reading(&line) {
                 break;
             }
         }
-        answer
+        response
     }
 
-    /// Reads a page, as of an operator address.
+    /// Fetches a page with GET, such as `/metrics` of an operator address.
     pub fn get(&self, address: SocketAddr, path: &str) -> Option<String> {
-        let mut response = self.agent.get(format!("http://{address}{path}")).call().ok()?;
+        let mut http_response = self.agent.get(format!("http://{address}{path}")).call().ok()?;
         let mut text = String::new();
-        response.body_mut().as_reader().read_to_string(&mut text).ok()?;
+        http_response.body_mut().as_reader().read_to_string(&mut text).ok()?;
         Some(text)
     }
 }
--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -3,11 +3,11 @@
 use std::{thread, time::Duration};
 
 use kingcup_support::{
-    caller::{Answer, Caller},
+    caller::{Caller, Response},
     engine::EngineConfig,
-    fleet::{Fleet, Plan, document, token},
-    plain::Plain,
-    platform::{Backend, Platform},
+    fleet::{Fleet, InstancePlan, document, token},
+    plain_service::PlainService,
+    platform::{FakeUpstream, Platform},
     proxy::Proxy,
     wait_until,
 };
@@ -15,7 +15,7 @@
 
 use crate::support::{PATIENCE, World, daemon, daemon_with_full_disk, orders_document, start};
 
-fn deposit(world: &World, entry: &str, key: &str, body: &str) -> Answer {
+fn deposit(world: &World, entry: &str, key: &str, body: &str) -> Response {
     let address = world.fleet.entry(entry);
     Caller::new(&token("alder")).post(address, "/orders/deposits", body, Some(key))
 }
@@ -28,7 +28,7 @@
 fn start_behind_proxy(entries: usize) -> (World, Proxy) {
     let world = start(&["north"], entries, &EngineConfig::default());
     let behind = Proxy::start(world.plains[0].address());
-    let plain = Backend::Plain(world.plains[0].clone());
+    let plain = FakeUpstream::Plain(world.plains[0].clone());
     world.platform.add("orders-behind", "orders", "north", behind.address(), plain);
     world.platform.leave("orders-north");
     let world = world.with_documents();
@@ -38,7 +38,7 @@
 }
 
 /// Sends a deposit in the background, to be cut off with its entry.
-fn deposit_later(world: &World, entry: &str, key: &'static str) -> thread::JoinHandle<Answer> {
+fn deposit_later(world: &World, entry: &str, key: &'static str) -> thread::JoinHandle<Response> {
     let address = world.fleet.entry(entry);
     thread::spawn(move || {
         Caller::new(&token("alder")).post(address, "/orders/deposits", "50", Some(key))
@@ -110,7 +110,7 @@
     let retried = deposit(&world, "entry-north-1", "claimed", "50");
     assert_eq!(retried.outcome, "unknown", "{retried:?}");
     assert_eq!(retried.code, 2008, "{retried:?}");
-    behind.reset_open();
+    behind.close_open_connections();
     behind.cut(false);
     assert!(runs(&world, "claimed") <= 1);
 }
@@ -140,7 +140,7 @@
     world.plains[0].set_delay(Duration::from_secs(3));
     let broken = deposit_later(&world, "entry-north-0", "broken");
     assert!(wait_until(PATIENCE, || runs(&world, "broken") == 1));
-    behind.reset_open();
+    behind.close_open_connections();
     let answer = broken.join().expect("a caller");
     assert_eq!((answer.code, answer.outcome.as_str()), (4002, "unknown"), "{answer:?}");
     let retried = deposit(&world, "entry-north-0", "broken", "50");
@@ -159,7 +159,7 @@
     let refused = deposit(&world, "entry-north-0", "later", "50");
     assert_eq!((refused.code, refused.outcome.as_str()), (3005, "not-run"), "{refused:?}");
     assert_eq!(runs(&world, "later"), 0);
-    world.fleet.run("control-south").expect("a started control instance");
+    world.fleet.start_instance("control-south").expect("a started control instance");
     let mut last = None;
     let done = wait_until(PATIENCE, || {
         let answer = deposit(&world, "entry-north-0", "later", "50");
@@ -185,12 +185,12 @@
 
 fn fill_disk(blocks: u32) {
     let platform = Platform::start(Duration::ZERO);
-    let plain = Plain::start(Duration::ZERO);
-    platform.add("orders", "orders", "north", plain.address(), Backend::Plain(plain.clone()));
+    let plain = PlainService::start(Duration::ZERO);
+    platform.add("orders", "orders", "north", plain.address(), FakeUpstream::Plain(plain.clone()));
     let roles = vec![Role::Entry, Role::Control];
-    let plan = Plan { instance: "all".to_owned(), domain: "north".to_owned(), roles };
+    let plan = InstancePlan { instance: "all".to_owned(), domain: "north".to_owned(), roles };
     let mut fleet = Fleet::prepare(daemon(), &[plan], &platform, false).expect("a prepared fleet");
-    fleet.run_as("all", &daemon_with_full_disk(blocks)).expect("a started instance");
+    fleet.start_instance_with("all", &daemon_with_full_disk(blocks)).expect("a started instance");
     assert!(wait_until(PATIENCE, || fleet.leader().is_some()));
     fleet.apply("orders", 0, &orders_document()).expect("the document in force");
     fleet.wait_for_dispatchers("orders").expect("a dispatcher");
@@ -212,7 +212,7 @@
     }
     assert!(failed(&fleet), "the disk never filled up");
     fleet.kill("all");
-    fleet.run("all").expect("a started instance on a larger disk");
+    fleet.start_instance("all").expect("a started instance on a larger disk");
     fleet.wait_for_dispatchers("orders").expect("a dispatcher");
     for key in keys.iter().rev().take(3) {
         deposit(key);
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -6,7 +6,7 @@
     caller::Caller,
     engine::{Engine, EngineConfig, FIRST_MODEL},
     fleet::token,
-    platform::Backend,
+    platform::FakeUpstream,
     wait_until,
 };
 use kingcupgrade::{
@@ -41,8 +41,8 @@
 /// Adds another engine to the pool.
 fn add_engine(world: &World) -> Engine {
     let other = Engine::start(EngineConfig::default());
-    let backend = Backend::Engine(other.clone());
-    world.platform.add("engine-other", "tutor", "north", other.address(), backend);
+    let upstream = FakeUpstream::Engine(other.clone());
+    world.platform.add("engine-other", "tutor", "north", other.address(), upstream);
     other
 }
 
@@ -57,16 +57,20 @@
     let number = world.fleet.order("engine-north", load("second")).expect("an order");
     let settled = || is_settled(&world, &entries(&world), "engine-north", number);
     assert!(wait_until(PATIENCE, settled), "the order is not carried out");
-    let begun = world.engines[0].record().begun.len();
-    let works_again = || world.engines[0].record().begun.len() > begun;
+    let begun = world.engines[0].record().started.len();
+    let works_again = || world.engines[0].record().started.len() > begun;
     assert!(wait_until(PATIENCE, works_again), "the changed engine gets no requests");
     let answers = crowd.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     assert_eq!(world.engines[0].setup().model, "second");
     assert_eq!(other.setup().model, FIRST_MODEL);
     let record = world.engines[0].record();
-    assert_eq!((record.ordered_while_busy, record.falls, record.oversold), (0, 0, 0));
-    assert!(record.ordered.iter().all(|(known, _)| *known == number), "{:?}", record.ordered);
+    assert_eq!((record.orders_while_busy, record.crashes, record.refused_over_limit), (0, 0, 0));
+    assert!(
+        record.applied_orders.iter().all(|(known, _)| *known == number),
+        "{:?}",
+        record.applied_orders
+    );
 }
 
 fn order_directly(engine: SocketAddr, number: u64, model: &str) -> u16 {
@@ -80,8 +84,8 @@
 // for good; it is found by reading it back and ordered anew.
 #[test]
 fn an_order_that_arrives_late_does_not_last() {
-    for checks_numbers in [true, false] {
-        let engine = EngineConfig { checks_numbers, ..EngineConfig::default() };
+    for checks_fencing in [true, false] {
+        let engine = EngineConfig { checks_fencing, ..EngineConfig::default() };
         let world = start(&["north"], 1, &engine).with_documents();
         let instances = entries(&world);
         let first = world.fleet.order("engine-north", load("second")).expect("an order");
@@ -89,18 +93,18 @@
         let second = world.fleet.order("engine-north", load("third")).expect("an order");
         assert!(wait_until(PATIENCE, || is_settled(&world, &instances, "engine-north", second)));
         let status = order_directly(world.engines[0].address(), first, "second");
-        assert_eq!(status, if checks_numbers { 409 } else { 202 });
+        assert_eq!(status, if checks_fencing { 409 } else { 202 });
         let is_right = || {
             let setup = world.engines[0].setup();
             setup.model == "third" && setup.ready
         };
         assert!(wait_until(PATIENCE, is_right), "the late order lasts");
-        let outdated = world.engines[0].record().outdated;
-        assert_eq!(outdated, if checks_numbers { vec![first] } else { vec![] });
+        let outdated = world.engines[0].record().outdated_orders;
+        assert_eq!(outdated, if checks_fencing { vec![first] } else { vec![] });
         let asked = prompt("after", "alder", 3);
         let caller = Caller::new(&token("alder"));
         let entry = world.fleet.entry("entry-north-0");
-        let served = || caller.prompt(entry, "tutor", &asked).answers(&asked);
+        let served = || caller.prompt(entry, "tutor", &asked).is_complete_for(&asked);
         assert!(wait_until(PATIENCE, served));
     }
 }
@@ -116,7 +120,7 @@
     let entry = world.fleet.entry(&others[0]);
     let long = thread::spawn(move || {
         let asked = prompt("long", "alder", 400);
-        Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked)
+        Caller::new(&token("alder")).prompt(entry, "tutor", &asked).is_complete_for(&asked)
     });
     assert!(wait_until(PATIENCE, || world.engines[0].running() == 1));
     let first = world.fleet.order("engine-north", load("second")).expect("an order");
@@ -139,9 +143,9 @@
     assert!(wait_until(PATIENCE, thawed), "the thawed entry still dispatches");
     assert!(long.join().expect("a caller"), "the long answer is cut");
     let record = world.engines[0].record();
-    let numbers: Vec<u64> = record.ordered.iter().map(|(number, _)| *number).collect();
+    let numbers: Vec<u64> = record.applied_orders.iter().map(|(number, _)| *number).collect();
     assert!(numbers.is_sorted() && numbers.iter().all(|number| *number > first), "{numbers:?}");
-    assert_eq!(record.ordered_while_busy, 0);
+    assert_eq!(record.orders_while_busy, 0);
 }
 
 // Guards against an order that waits for as long as an entry is frozen, since that entry might be
@@ -164,7 +168,7 @@
         };
         assert!(wait_until(PATIENCE, is_second), "{owner} is frozen and holds the order up");
         world.fleet.signal(owner, "CONT");
-        assert_eq!(world.engines[0].record().ordered_while_busy, 0);
+        assert_eq!(world.engines[0].record().orders_while_busy, 0);
     }
 }
 
@@ -187,7 +191,7 @@
     assert!(crowd.wait_for(10), "the engine does not work again");
     check_answers(&crowd.finish());
     let record = world.engines[0].record();
-    assert_eq!((record.ordered_while_busy, record.falls), (0, 0));
+    assert_eq!((record.orders_while_busy, record.crashes), (0, 0));
     assert_eq!(world.engines[0].setup().model, "second");
 }
 
@@ -202,14 +206,14 @@
     world.fleet.order("engine-north", SetupChange::Drained(true)).expect("an order");
     let rests = || world.engines[0].setup().drained && world.engines[0].running() == 0;
     assert!(wait_until(PATIENCE, rests), "it is not drained");
-    let begun = world.engines[0].record().begun.len();
+    let begun = world.engines[0].record().started.len();
     assert!(crowd.wait_for(20), "the other engine does not serve");
-    assert_eq!(world.engines[0].record().begun.len(), begun);
+    assert_eq!(world.engines[0].record().started.len(), begun);
     world.fleet.order("engine-north", SetupChange::Drained(false)).expect("an order");
-    let works = || world.engines[0].record().begun.len() > begun;
+    let works = || world.engines[0].record().started.len() > begun;
     assert!(wait_until(PATIENCE, works), "it does not work again");
     let answers = crowd.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
 }
 
 // A slip in an order must not reach an engine, which might take it for a model's name.
