--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -7,7 +7,7 @@
     caller::Caller,
     engine::{Engine, EngineConfig, FIRST_MODEL},
     fleet::token,
-    platform::Backend,
+    platform::FakeUpstream,
     wait_until,
 };
 use kingcupgrade::{
@@ -42,8 +42,8 @@
 /// Adds another engine to the pool.
 fn add_engine(world: &World) -> Engine {
     let other = Engine::start(EngineConfig::default());
-    let backend = Backend::Engine(other.clone());
-    world.platform.add("engine-other", "tutor", "north", other.address(), backend);
+    let upstream = FakeUpstream::Engine(other.clone());
+    world.platform.add("engine-other", "tutor", "north", other.address(), upstream);
     other
 }
 
@@ -58,16 +58,20 @@
     let number = world.fleet.order("engine-north", load("second")).expect("an order");
     let carried_out = || is_carried_out(&world, &entries(&world), "engine-north", number);
     assert!(wait_until(PATIENCE, carried_out), "the order is not carried out");
-    let begun = world.engines[0].record().begun.len();
-    let serves_again = || world.engines[0].record().begun.len() > begun;
+    let started_before = world.engines[0].record().started.len();
+    let serves_again = || world.engines[0].record().started.len() > started_before;
     assert!(wait_until(PATIENCE, serves_again), "the changed engine gets no requests");
     let answers = callers.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     assert_eq!(world.engines[0].setup().model, "second");
     assert_eq!(other.setup().model, FIRST_MODEL);
     let record = world.engines[0].record();
-    assert_eq!((record.ordered_while_busy, record.falls, record.oversold), (0, 0, 0));
-    assert!(record.ordered.iter().all(|(known, _)| *known == number), "{:?}", record.ordered);
+    assert_eq!((record.orders_while_busy, record.crashes, record.refused_over_limit), (0, 0, 0));
+    assert!(
+        record.applied_orders.iter().all(|(known, _)| *known == number),
+        "{:?}",
+        record.applied_orders
+    );
 }
 
 fn send_order_directly(engine: SocketAddr, number: u64, model: &str) -> u16 {
@@ -82,8 +86,8 @@
 // again.
 #[test]
 fn an_order_that_arrives_late_does_not_last() {
-    for checks_numbers in [true, false] {
-        let engine = EngineConfig { checks_numbers, ..EngineConfig::default() };
+    for checks_fencing in [true, false] {
+        let engine = EngineConfig { checks_fencing, ..EngineConfig::default() };
         let world = start(&["north"], 1, &engine).with_documents();
         let instances = entries(&world);
         let first = world.fleet.order("engine-north", load("second")).expect("an order");
@@ -96,18 +100,18 @@
             second
         )));
         let status = send_order_directly(world.engines[0].address(), first, "second");
-        assert_eq!(status, if checks_numbers { 409 } else { 202 });
+        assert_eq!(status, if checks_fencing { 409 } else { 202 });
         let has_third_model = || {
             let setup = world.engines[0].setup();
             setup.model == "third" && setup.ready
         };
         assert!(wait_until(PATIENCE, has_third_model), "the delayed order remains in effect");
-        let outdated = world.engines[0].record().outdated;
-        assert_eq!(outdated, if checks_numbers { vec![first] } else { vec![] });
+        let outdated = world.engines[0].record().outdated_orders;
+        assert_eq!(outdated, if checks_fencing { vec![first] } else { vec![] });
         let asked = prompt("after", "alder", 3);
         let caller = Caller::new(&token("alder"));
         let entry = world.fleet.entry("entry-north-0");
-        let served = || caller.prompt(entry, "tutor", &asked).answers(&asked);
+        let served = || caller.prompt(entry, "tutor", &asked).is_complete_for(&asked);
         assert!(wait_until(PATIENCE, served));
     }
 }
@@ -123,7 +127,7 @@
     let entry = world.fleet.entry(&others[0]);
     let long = thread::spawn(move || {
         let asked = prompt("long", "alder", 400);
-        Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked)
+        Caller::new(&token("alder")).prompt(entry, "tutor", &asked).is_complete_for(&asked)
     });
     assert!(wait_until(PATIENCE, || world.engines[0].running() == 1));
     let first = world.fleet.order("engine-north", load("second")).expect("an order");
@@ -146,9 +150,9 @@
     assert!(wait_until(PATIENCE, thawed), "the thawed entry still dispatches");
     assert!(long.join().expect("a caller"), "the long answer is cut off");
     let record = world.engines[0].record();
-    let numbers: Vec<u64> = record.ordered.iter().map(|(number, _)| *number).collect();
+    let numbers: Vec<u64> = record.applied_orders.iter().map(|(number, _)| *number).collect();
     assert!(numbers.is_sorted() && numbers.iter().all(|number| *number > first), "{numbers:?}");
-    assert_eq!(record.ordered_while_busy, 0);
+    assert_eq!(record.orders_while_busy, 0);
 }
 
 // Guards against an order that waits for as long as the engine's static-share owner is frozen. That
@@ -174,7 +178,7 @@
             "the order is not carried out while {owner} is frozen"
         );
         world.fleet.signal(owner, "CONT");
-        assert_eq!(world.engines[0].record().ordered_while_busy, 0);
+        assert_eq!(world.engines[0].record().orders_while_busy, 0);
     }
 }
 
@@ -198,7 +202,7 @@
     assert!(callers.wait_for(10), "the engine does not serve again");
     check_answers(&callers.finish());
     let record = world.engines[0].record();
-    assert_eq!((record.ordered_while_busy, record.falls), (0, 0));
+    assert_eq!((record.orders_while_busy, record.crashes), (0, 0));
     assert_eq!(world.engines[0].setup().model, "second");
 }
 
@@ -214,14 +218,14 @@
     world.fleet.order("engine-north", SetupChange::Drained(true)).expect("an order");
     let is_drained = || world.engines[0].setup().drained && world.engines[0].running() == 0;
     assert!(wait_until(PATIENCE, is_drained), "the engine is not drained");
-    let begun = world.engines[0].record().begun.len();
+    let started_before = world.engines[0].record().started.len();
     assert!(callers.wait_for(20), "the other engine does not serve");
-    assert_eq!(world.engines[0].record().begun.len(), begun);
+    assert_eq!(world.engines[0].record().started.len(), started_before);
     world.fleet.order("engine-north", SetupChange::Drained(false)).expect("an order");
-    let serves_again = || world.engines[0].record().begun.len() > begun;
+    let serves_again = || world.engines[0].record().started.len() > started_before;
     assert!(wait_until(PATIENCE, serves_again), "the engine does not serve again");
     let answers = callers.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
 }
 
 // Guards against a mistyped order reaching an engine, which might take it for a model's name.
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -6,7 +6,7 @@
     caller::Caller,
     engine::{Engine, EngineConfig},
     fleet::{document, token},
-    platform::Backend,
+    platform::FakeUpstream,
     wait_until,
 };
 use kingcupgrade::{ops::fresh_change_id, protocol::record::Command};
@@ -18,7 +18,7 @@
 /// Returns the configuration of an engine that never warms up, so that its cold slot limit always
 /// applies.
 fn cold_engine() -> EngineConfig {
-    EngineConfig { warm_after: u32::MAX, ..EngineConfig::default() }
+    EngineConfig { requests_until_warm: u32::MAX, ..EngineConfig::default() }
 }
 
 /// Longer than a lease takes to expire and to be won by another entry.
@@ -27,11 +27,11 @@
 fn assert_cold_limit_held(world: &World) {
     for engine in &world.engines {
         let record = engine.record();
-        assert_eq!(record.falls, 0, "a cold engine crashed");
+        assert_eq!(record.crashes, 0, "a cold engine crashed");
         assert!(
-            record.most_while_cold <= 2,
+            record.max_running_while_cold <= 2,
             "{} requests ran concurrently",
-            record.most_while_cold
+            record.max_running_while_cold
         );
     }
 }
@@ -55,7 +55,7 @@
     world.fleet.kill(&dispatcher);
     assert!(callers.wait_for(20), "the backlog is not served after the takeover");
     let answers = callers.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     assert_cold_limit_held(&world);
 }
 
@@ -115,13 +115,13 @@
     let north = Crowd::start("north", world.fleet.entry("entry-north-0"), "alder", 4, 10);
     let south = Crowd::start("south", world.fleet.entry("entry-south-0"), "birch", 4, 10);
     assert!(north.wait_for(5) && south.wait_for(5));
-    world.fleet.cut_domain("south", true);
+    world.fleet.partition_domain("south", true);
     // Long enough for both sides to detect the partition: leases, sessions and the configuration's
     // freshness have expired.
     thread::sleep(Duration::from_secs(5));
     assert!(north.wait_for(10), "the north does not serve");
     assert!(south.wait_for(10), "the south does not serve");
-    world.fleet.cut_domain("south", false);
+    world.fleet.partition_domain("south", false);
     let fresh = || world.fleet.status("entry-south-0").is_ok_and(|status| status.fresh);
     assert!(wait_until(PATIENCE, fresh), "the south does not rejoin");
     assert!(north.wait_for(10) && south.wait_for(10));
@@ -141,10 +141,10 @@
     assert!(unaffected.wait_for(5) && affected.wait_for(5));
     world.fleet.kill(&others[1]);
     assert!(unaffected.wait_for(10));
-    world.fleet.run(&others[1]).expect("a started entry");
+    world.fleet.start_instance(&others[1]).expect("a started entry");
     assert!(affected.wait_for(10), "the restarted entry does not serve");
     let answers = unaffected.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     check_answers(&affected.finish());
     assert_cold_limit_held(&world);
 }
@@ -164,7 +164,7 @@
     let other = Crowd::start("other", entry, "birch", 2, 10);
     assert!(other.wait_for(10), "the other organisation is not served");
     let answers = other.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     let answers = flood.finish();
     let refused: Vec<_> = answers.iter().filter(|(_, answer)| answer.code == 3001).collect();
     assert!(!refused.is_empty(), "no request is refused");
@@ -186,7 +186,7 @@
     world.engines[0].turn_cold();
     assert!(callers.wait_for(20));
     check_answers(&callers.finish());
-    assert_eq!(world.engines[0].record().falls, 0);
+    assert_eq!(world.engines[0].record().crashes, 0);
 }
 
 // Guards against connections that stay open and carry nothing, as after a firewall has dropped
@@ -199,8 +199,8 @@
     let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
     assert!(callers.wait_for(5));
     for other in &others {
-        world.fleet.link(other, &dispatcher).freeze_open();
-        world.fleet.link(&dispatcher, other).freeze_open();
+        world.fleet.link(other, &dispatcher).stall_open_connections();
+        world.fleet.link(&dispatcher, other).stall_open_connections();
     }
     assert!(callers.wait_for(15), "nothing is served after the connections went silent");
     let replaced = || world.fleet.metrics(&others[0]).contains("kingcup_peer_connections_replaced");
@@ -218,8 +218,8 @@
     let (dispatcher, others) = dispatcher_and_others(&world, "north");
     let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
     assert!(callers.wait_for(5));
-    world.fleet.link(&others[0], &others[1]).freeze_open();
-    world.fleet.link(&others[1], &others[0]).freeze_open();
+    world.fleet.link(&others[0], &others[1]).stall_open_connections();
+    world.fleet.link(&others[1], &others[0]).stall_open_connections();
     world.fleet.kill(&dispatcher);
     assert!(callers.wait_for(15), "the backlog is not served");
     check_answers(&callers.finish());
@@ -240,7 +240,7 @@
             "tutor",
             "north",
             engine.address(),
-            Backend::Engine(engine.clone()),
+            FakeUpstream::Engine(engine.clone()),
         );
         world.engines.push(engine);
     }
@@ -272,22 +272,26 @@
         "tutor",
         "north",
         second.address(),
-        Backend::Engine(second.clone()),
+        FakeUpstream::Engine(second.clone()),
     );
     world.engines.push(second);
     let world = world.with_documents();
     let callers = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 20);
-    assert!(wait_until(PATIENCE, || world.engines.iter().all(|e| e.record().begun.len() > 5)));
+    assert!(wait_until(PATIENCE, || world.engines.iter().all(|e| e.record().started.len() > 5)));
     let change = fresh_change_id().expect("a change id");
     let leave = Command::SetLeaving { change, upstream: "engine-north".into(), leaving: true };
     world.fleet.client().change(leave).expect("an accepted change");
     // A leaving upstream gets no new requests after at most 3 s; the load continues meanwhile.
     thread::sleep(Duration::from_secs(3));
-    let before = world.engines[0].record().begun.len();
+    let before = world.engines[0].record().started.len();
     assert!(callers.wait_for(20), "the other engine does not serve");
-    assert_eq!(world.engines[0].record().begun.len(), before, "a new request at a leaving engine");
+    assert_eq!(
+        world.engines[0].record().started.len(),
+        before,
+        "a new request at a leaving engine"
+    );
     let answers = callers.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
 }
 
 // Guards against an answer that stays incomplete when the engine goes silent in the middle and the
@@ -297,7 +301,7 @@
 fn an_answer_that_goes_silent_is_resumed_where_it_stopped() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
     let engine = world.engines[0].clone();
-    engine.go_silent_after(5);
+    engine.stall_after(5);
     let entry = world.fleet.entry("entry-north-0");
     let caller = thread::spawn(move || {
         let asked = prompt("quote", "alder", 12);
@@ -307,10 +311,10 @@
     let silent = || engine.record().served.len() == 5;
     assert!(wait_until(PATIENCE, silent), "the engine did not start to answer");
     assert!(
-        wait_until(PATIENCE, || engine.record().begun.len() > 1),
+        wait_until(PATIENCE, || engine.record().started.len() > 1),
         "the entry does not resume the answer"
     );
-    engine.go_silent_after(0);
+    engine.stall_after(0);
     let (asked, answer) = caller.join().expect("a caller");
-    assert!(answer.answers(&asked), "{answer:?}");
+    assert!(answer.is_complete_for(&asked), "{answer:?}");
 }
--- a/tests/testsuite/record/mod.rs
+++ b/tests/testsuite/record/mod.rs
@@ -14,7 +14,7 @@
 use kingcup_support::{
     caller::Caller,
     engine::EngineConfig,
-    fleet::{Fleet, Plan, token},
+    fleet::{Fleet, InstancePlan, token},
     platform::Platform,
     wait_until,
 };
@@ -74,8 +74,8 @@
 }
 
 fn start_control_instances(count: usize) -> Fleet {
-    let plans: Vec<Plan> =
-        (0..count).map(|n| Plan::control(&format!("control-{n}"), "north")).collect();
+    let plans: Vec<InstancePlan> =
+        (0..count).map(|n| InstancePlan::control(&format!("control-{n}"), "north")).collect();
     let platform = Platform::start(Duration::ZERO);
     Fleet::start(daemon(), &plans, &platform, false).expect("a running fleet")
 }
@@ -123,7 +123,7 @@
         world.fleet.kill(&leader);
         let again = submit_until_accepted(&world.fleet, &small_change(round));
         assert_eq!(again, last, "resending after the kill gave another answer");
-        world.fleet.run(&leader).expect("a started control instance");
+        world.fleet.start_instance(&leader).expect("a started control instance");
     }
     stop.store(true, Ordering::SeqCst);
     let deposits = depositor.join().expect("a depositor");
@@ -157,7 +157,9 @@
     assert!(held.last_index > 0);
     let entry = world.fleet.status("entry-north-0").expect("a running entry");
     assert_eq!(entry.revisions.len(), 2, "the entry forgot its configuration");
-    controls.iter().for_each(|(control, _)| world.fleet.run(control).expect("a started instance"));
+    controls
+        .iter()
+        .for_each(|(control, _)| world.fleet.start_instance(control).expect("a started instance"));
     let all_back =
         || controls.iter().all(|(control, _)| commit_index(&world.fleet, control) >= last.1);
     assert!(wait_until(PATIENCE, all_back), "an accepted change is lost");
@@ -290,7 +292,7 @@
         start(&["north", "south", "west"], 2, &EngineConfig::default()).with_documents();
     let fleet = &mut world.fleet;
     let revision = kill_and_confine_to_isolated_control(fleet);
-    fleet.run("entry-north-0").expect("a started entry");
+    fleet.start_instance("entry-north-0").expect("a started entry");
     let newest = || {
         let status = fleet.status("entry-north-0");
         status.is_ok_and(|status| status.revisions.get("tutor") == Some(&revision))
@@ -313,7 +315,7 @@
     let revision = kill_and_confine_to_isolated_control(fleet);
     // Messages sent while the link is down are lost, not delayed.
     fleet.link("entry-north-0", "entry-north-1").set_down(true);
-    fleet.run("entry-north-0").expect("a started entry");
+    fleet.start_instance("entry-north-0").expect("a started entry");
     let knows = |wanted: u64| {
         let status = fleet.status("entry-north-0");
         status.is_ok_and(|status| status.revisions.get("tutor") == Some(&wanted))
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -12,11 +12,11 @@
 
 pub(crate) use kingcup_support::settings::fleet_settings;
 use kingcup_support::{
-    caller::{Answer, Caller},
+    caller::{Caller, Response},
     engine::{Engine, EngineConfig, Prompt},
-    fleet::{Fleet, Plan, Program, document, token},
-    plain::Plain,
-    platform::{Backend, Platform},
+    fleet::{Fleet, InstancePlan, Program, document, token},
+    plain_service::PlainService,
+    platform::{FakeUpstream, Platform},
     wait_until,
 };
 use kingcupgrade::{
@@ -67,7 +67,7 @@
 pub(crate) struct World {
     pub(crate) platform: Platform,
     pub(crate) engines: Vec<Engine>,
-    pub(crate) plains: Vec<Plain>,
+    pub(crate) plains: Vec<PlainService>,
     pub(crate) fleet: Fleet,
 }
 
@@ -97,16 +97,22 @@
     for domain in domains {
         let stand_in = Engine::start(engine.clone());
         let name = engine_name(domain);
-        platform.add(&name, "tutor", domain, stand_in.address(), Backend::Engine(stand_in.clone()));
+        platform.add(
+            &name,
+            "tutor",
+            domain,
+            stand_in.address(),
+            FakeUpstream::Engine(stand_in.clone()),
+        );
         engines.push(stand_in);
-        let plain = Plain::start(Duration::from_millis(20));
+        let plain = PlainService::start(Duration::from_millis(20));
         let name = format!("orders-{domain}");
-        platform.add(&name, "orders", domain, plain.address(), Backend::Plain(plain.clone()));
+        platform.add(&name, "orders", domain, plain.address(), FakeUpstream::Plain(plain.clone()));
         plains.push(plain);
         for n in 0..entries {
-            plans.push(Plan::entry(&format!("entry-{domain}-{n}"), domain));
+            plans.push(InstancePlan::entry(&format!("entry-{domain}-{n}"), domain));
         }
-        plans.push(Plan::control(&format!("control-{domain}"), domain));
+        plans.push(InstancePlan::control(&format!("control-{domain}"), domain));
     }
     let fleet = Fleet::start(daemon(), &plans, &platform, false).expect("a running fleet");
     World { platform, engines, plains, fleet }
@@ -127,7 +133,7 @@
 pub(crate) struct Crowd {
     stop: Arc<AtomicBool>,
     done: Arc<AtomicUsize>,
-    threads: Vec<JoinHandle<Vec<(Prompt, Answer)>>>,
+    threads: Vec<JoinHandle<Vec<(Prompt, Response)>>>,
 }
 
 impl Crowd {
@@ -150,7 +156,7 @@
                     let id = format!("{name}-{n}-{}", answers.len());
                     let asked = prompt(&id, &organisation, tokens);
                     let answer = caller.prompt(entry, "tutor", &asked);
-                    if answer.answers(&asked) {
+                    if answer.is_complete_for(&asked) {
                         done.fetch_add(1, Ordering::SeqCst);
                     } else {
                         std::thread::sleep(Duration::from_millis(50));
@@ -176,7 +182,7 @@
     }
 
     /// Lets the callers finish and returns all they asked and got.
-    pub(crate) fn finish(self) -> Vec<(Prompt, Answer)> {
+    pub(crate) fn finish(self) -> Vec<(Prompt, Response)> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().flat_map(|thread| thread.join().expect("a caller")).collect()
     }
@@ -187,12 +193,15 @@
 /// # Panics
 ///
 /// Panics at the first one that does neither.
-pub(crate) fn check_answers(answers: &[(Prompt, Answer)]) {
+pub(crate) fn check_answers(answers: &[(Prompt, Response)]) {
     for (asked, answer) in answers {
-        assert!(!answer.is_crossed(asked), "crossed: {answer:?}");
+        assert!(!answer.contains_other_prompt(asked), "crossed: {answer:?}");
         let is_refused = answer.outcome == "not-run" || answer.outcome == "unknown";
         let is_marked = answer.body.contains("event: error");
-        let is_gone = !answer.is_whole;
-        assert!(answer.answers(asked) || is_refused || is_marked || is_gone, "cut: {answer:?}");
+        let is_gone = !answer.is_complete;
+        assert!(
+            answer.is_complete_for(asked) || is_refused || is_marked || is_gone,
+            "cut: {answer:?}"
+        );
     }
 }
