--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The test suite: one binary, a module for each subject.
+//! Integration tests, built as one binary with a module for each subject.
 
 mod answers;
 mod connections;
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! Fleets for tests.
+//! Test harness: starts fleets of real processes with simulated upstreams, and generates load.
 
 use std::{
     net::SocketAddr,
@@ -24,17 +24,18 @@
     util::rendezvous::static_shares,
 };
 
-/// The patience of tests: far beyond what is expected, so that a busy machine fails none.
+/// Upper bound on each wait in a test, far above the expected time, so that a test does not fail
+/// because the host is slow.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Returns how to start the daemon under test.
+/// Returns the command that starts the daemon under test.
 pub(crate) fn daemon() -> Program {
     Program::daemon(env!("CARGO_BIN_EXE_kingcupd"))
 }
 
-/// Returns how to start the daemon with a limit of so many blocks on the size of its files.
+/// Returns the command that starts the daemon with a file size limit of `blocks` blocks.
 ///
-/// It stands for a full disk; a write beyond it fails the same way.
+/// The limit simulates a full disk: a write beyond it fails in the same way.
 pub(crate) fn daemon_with_full_disk(blocks: u32) -> Program {
     let daemon = env!("CARGO_BIN_EXE_kingcupd");
     let limited = format!("trap '' XFSZ; ulimit -f {blocks}; exec {daemon} \"$@\"");
@@ -45,25 +46,25 @@
     }
 }
 
-/// Makes a prompt.
 pub(crate) fn prompt(id: &str, organisation: &str, tokens: u64) -> Prompt {
     Prompt { id: id.to_owned(), organisation: organisation.to_owned(), tokens }
 }
 
-/// The document of the engines' service, with organisations `alder` and `birch`.
+/// Returns the document of the engine service, with the organisations `alder` and `birch`.
 pub(crate) fn tutor_document() -> String {
     let rest = "slots: {cold: 2, warm: 4}\nlimits: {deadline_ms: 20000, silence_ms: 1500}\n";
     document("tutor", "model-engine", &[("alder", 1), ("birch", 1)], rest)
 }
 
-/// The document of a plain service whose deposits must not repeat.
+/// Returns the document of a plain service whose deposits must not be executed more than once.
 pub(crate) fn orders_document() -> String {
     let rest = "never_repeat:\n  - {method: POST, path: /deposits}\n\
                 slots: {cold: 8, warm: 8}\nlimits: {deadline_ms: 8000, silence_ms: 6000}\n";
     document("orders", "plain-service", &[("alder", 1), ("birch", 1)], rest)
 }
 
-/// A small world: a platform, engines and a plain service in each failure domain, and a fleet.
+/// A running fleet with a simulated platform, and an engine and a plain service in each failure
+/// domain.
 pub(crate) struct World {
     pub(crate) platform: Platform,
     pub(crate) engines: Vec<Engine>,
@@ -71,21 +72,21 @@
     pub(crate) fleet: Fleet,
 }
 
-/// Starts a world with `entries` entries and one control instance in each failure domain.
+/// Starts a harness with `entries` entries and one control instance in each failure domain.
 pub(crate) fn start(domains: &[&str], entries: usize, engine: &EngineConfig) -> World {
     start_named(domains, entries, engine, |domain| format!("engine-{domain}"))
 }
 
-/// Returns an engine's name that `owner`, one of `entries`, serves by static share.
+/// Returns the name of an engine that static sharing assigns to `owner`, one of `entries`.
 pub(crate) fn engine_owned_by(owner: &str, entries: &[String]) -> String {
-    let residents: Vec<Instance> = entries.iter().map(|i| i.as_str().into()).collect();
-    let owners = |name: &str| static_shares([UpstreamName::from(name)], &residents);
+    let instances: Vec<Instance> = entries.iter().map(|i| i.as_str().into()).collect();
+    let owners = |name: &str| static_shares([UpstreamName::from(name)], &instances);
     let mut names = (0..).map(|n| format!("engine-{n}"));
-    let name = names.find(|name| owners(name).values().all(|known| known.as_str() == owner));
+    let name = names.find(|name| owners(name).values().all(|assigned| assigned.as_str() == owner));
     name.expect("a name for each owner")
 }
 
-/// The same, with engines' names by failure domain.
+/// Like [`start`], with engine names derived from the failure domain by `engine_name`.
 pub(crate) fn start_named(
     domains: &[&str],
     entries: usize,
@@ -95,10 +96,16 @@
     let platform = Platform::start(Duration::from_millis(200));
     let (mut engines, mut plains, mut plans) = (Vec::new(), Vec::new(), Vec::new());
     for domain in domains {
-        let stand_in = Engine::start(engine.clone());
+        let simulated = Engine::start(engine.clone());
         let name = engine_name(domain);
-        platform.add(&name, "tutor", domain, stand_in.address(), Backend::Engine(stand_in.clone()));
-        engines.push(stand_in);
+        platform.add(
+            &name,
+            "tutor",
+            domain,
+            simulated.address(),
+            Backend::Engine(simulated.clone()),
+        );
+        engines.push(simulated);
         let plain = Plain::start(Duration::from_millis(20));
         let name = format!("orders-{domain}");
         platform.add(&name, "orders", domain, plain.address(), Backend::Plain(plain.clone()));
@@ -113,17 +120,17 @@
 }
 
 impl World {
-    /// Puts both documents in force and waits for the dispatchers.
+    /// Applies both documents and waits until each service has a dispatcher.
     pub(crate) fn with_documents(self) -> World {
-        self.fleet.apply("tutor", 0, &tutor_document()).expect("the tutor's document in force");
-        self.fleet.apply("orders", 0, &orders_document()).expect("the orders' document in force");
-        self.fleet.wait_for_dispatchers("tutor").expect("dispatchers of the tutor");
-        self.fleet.wait_for_dispatchers("orders").expect("dispatchers of the orders");
+        self.fleet.apply("tutor", 0, &tutor_document()).expect("the tutor document applied");
+        self.fleet.apply("orders", 0, &orders_document()).expect("the orders document applied");
+        self.fleet.wait_for_dispatchers("tutor").expect("a dispatcher for tutor");
+        self.fleet.wait_for_dispatchers("orders").expect("a dispatcher for orders");
         self
     }
 }
 
-/// Callers that ask one after the other until they are told to stop.
+/// Generates closed-loop load: each caller sends its next request when the previous one has ended.
 pub(crate) struct Crowd {
     stop: Arc<AtomicBool>,
     done: Arc<AtomicUsize>,
@@ -131,7 +138,8 @@
 }
 
 impl Crowd {
-    /// Lets `callers` callers of `organisation` ask `entry` for answers of `tokens` tokens.
+    /// Starts `callers` threads that request answers of `tokens` tokens from `entry` on behalf of
+    /// `organisation`.
     pub(crate) fn start(
         name: &str,
         entry: SocketAddr,
@@ -164,35 +172,39 @@
         crowd
     }
 
-    /// Returns how many whole answers came so far.
+    /// Returns the number of complete answers received so far.
     pub(crate) fn done(&self) -> usize {
         self.done.load(Ordering::SeqCst)
     }
 
-    /// Waits for `more` whole answers; returns false if they do not come.
+    /// Waits for `more` complete answers; returns false if they do not arrive in time.
     pub(crate) fn wait_for(&self, more: usize) -> bool {
-        let goal = self.done() + more;
-        wait_until(PATIENCE, || self.done() >= goal)
+        let target = self.done() + more;
+        wait_until(PATIENCE, || self.done() >= target)
     }
 
-    /// Lets the callers finish and returns all they asked and got.
+    /// Lets the requests in flight finish, and returns all prompts with their answers.
     pub(crate) fn finish(self) -> Vec<(Prompt, Answer)> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().flat_map(|thread| thread.join().expect("a caller")).collect()
     }
 }
 
-/// Checks that each answer is whole, or says plainly that it is not.
+/// Checks that each answer is either complete or recognisable as incomplete: refused, ended with
+/// an error event, or cut off by a closed connection.
 ///
 /// # Panics
 ///
-/// Panics at the first one that does neither.
+/// Panics on the first answer that is neither, and on one with events of another request.
 pub(crate) fn check_answers(answers: &[(Prompt, Answer)]) {
     for (asked, answer) in answers {
         assert!(!answer.is_crossed(asked), "crossed: {answer:?}");
         let is_refused = answer.outcome == "not-run" || answer.outcome == "unknown";
         let is_marked = answer.body.contains("event: error");
-        let is_gone = !answer.is_whole;
-        assert!(answer.answers(asked) || is_refused || is_marked || is_gone, "cut: {answer:?}");
+        let is_cut_off = !answer.is_whole;
+        assert!(
+            answer.answers(asked) || is_refused || is_marked || is_cut_off,
+            "truncated: {answer:?}"
+        );
     }
 }
