--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -1,4 +1,4 @@
-//! Whole answers to the right callers.
+//! Delivery of answers: complete, streamed, and to the caller that asked.
 
 use std::{
     io::Write,
@@ -12,9 +12,9 @@
 
 use crate::support::{PATIENCE, prompt, start, tutor_document};
 
-// The entry could gather an answer and send it at its end; a candidate would stare at nothing
-// until the whole explanation is there. The engine's own record tells when it wrote the last
-// event: the caller must have had the first one before that.
+// Guards against an entry that buffers an answer and sends it only at its end, so that the caller
+// sees nothing until the answer is complete. The engine records when it wrote the last event; the
+// caller must have received the first one before that.
 #[test]
 fn an_answer_reaches_its_caller_event_by_event() {
     let engine = EngineConfig { token_time: Duration::from_millis(60), ..EngineConfig::default() };
@@ -33,8 +33,8 @@
     assert!(first.expect("an event") < last_written);
 }
 
-// Two requests run at the same engine at the same time; an entry that mixed up its connections
-// would give one candidate the other's answer.
+// Guards against an entry that mixes up its upstream connections: of two requests that run on the
+// same engine at the same time, one caller would get the other's answer.
 #[test]
 fn two_callers_at_once_each_get_their_own_answer() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
@@ -52,8 +52,9 @@
     }
 }
 
-// A caller closes its window in the middle of a long answer. Unless the entry cancels it, the
-// engine goes on writing for nobody while others wait for the slot.
+// Guards against a request that runs on after its caller has disconnected in the middle of a long
+// answer: unless the entry cancels it, the engine generates output that nobody reads while other
+// requests wait for the slot.
 #[test]
 fn a_caller_that_hangs_up_frees_the_slot() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
@@ -64,29 +65,30 @@
         caller.post_with(entry, "/tutor/generate", &body, None, |line| !line.contains("long 5"));
     assert!(!answer.is_whole);
     assert!(wait_until(PATIENCE, || world.engines[0].running() == 0), "the engine still runs it");
-    let dispatched = || {
+    let is_released = || {
         let status = world.fleet.status("entry-north-0").expect("a status");
         status.pools.iter().flat_map(|pool| pool.upstreams.values()).all(|(used, _)| *used == 0)
     };
-    assert!(wait_until(PATIENCE, dispatched), "the dispatcher still counts it");
+    assert!(wait_until(PATIENCE, is_released), "the dispatcher still counts it");
 }
 
-// A caller whose request waits for a slot closes its window. Unless the entry forgets the request,
-// it takes a place in its organisation's queue and later runs for nobody while others wait.
+// Guards against a queued request that outlives its caller: unless the entry removes it when the
+// caller disconnects, it occupies a place in its organisation's queue and later runs although
+// nobody reads the answer, while other requests wait.
 #[test]
 fn a_caller_that_hangs_up_while_it_waits_is_forgotten() {
     let engine = EngineConfig { cold_slots: 1, warm_slots: 1, ..EngineConfig::default() };
     let world = start(&["north"], 1, &engine);
     let one_slot = tutor_document().replace("cold: 2, warm: 4", "cold: 1, warm: 1");
-    world.fleet.apply("tutor", 0, &one_slot).expect("a document in force");
+    world.fleet.apply("tutor", 0, &one_slot).expect("the document applied");
     world.fleet.wait_for_dispatchers("tutor").expect("a dispatcher");
     let entry = world.fleet.entry("entry-north-0");
     let open = || world.fleet.metric("entry-north-0", "kingcup_open_requests");
     let (end, ended) = mpsc::channel::<()>();
     let first = thread::spawn(move || {
         let body = serde_json::to_string(&prompt("first", "alder", 100_000)).expect("plain data");
-        let go_on = |_: &str| matches!(ended.try_recv(), Err(mpsc::TryRecvError::Empty));
-        Caller::new(&token("alder")).post_with(entry, "/tutor/generate", &body, None, go_on)
+        let keep_reading = |_: &str| matches!(ended.try_recv(), Err(mpsc::TryRecvError::Empty));
+        Caller::new(&token("alder")).post_with(entry, "/tutor/generate", &body, None, keep_reading)
     });
     assert!(wait_until(PATIENCE, || world.engines[0].running() == 1), "the first does not run");
     let body = serde_json::to_string(&prompt("second", "alder", 3)).expect("plain data");
@@ -109,8 +111,9 @@
     assert!(!begun.iter().any(|(id, _)| id == "second"), "{begun:?}");
 }
 
-// An operator replaces an entry while answers are under way. It must finish them, refuse what
-// comes after as not run, and then end by itself.
+// Guards against answers cut off when an operator replaces an entry. The terminated entry must
+// finish the answers in flight, refuse later requests with the outcome `not-run`, and then exit by
+// itself.
 #[test]
 fn a_terminated_entry_cuts_off_no_answer() {
     let world = start(&["north"], 2, &EngineConfig::default()).with_documents();
@@ -137,5 +140,5 @@
     assert!(refused, "a late request is not refused");
     let (asked, answer) = caller.join().expect("a caller");
     assert!(answer.answers(&asked), "{answer:?}");
-    assert!(world.fleet.wait_for_end("entry-north-0", PATIENCE), "the entry does not end");
+    assert!(world.fleet.wait_for_end("entry-north-0", PATIENCE), "the entry does not exit");
 }
