--- a/tests/testsuite/connections.rs
+++ b/tests/testsuite/connections.rs
@@ -1,7 +1,8 @@
-//! Connections to upstreams, in an entry whose processor is behind.
+//! Upstream connections of an entry whose executor is overloaded.
 //!
-//! What is done in one turn of the processor must reach the upstream in that turn: the thread that
-//! stands still right after it plays a processor that has hundreds of other tasks to do first.
+//! An action on a connection must reach the upstream during the poll that triggers it, without
+//! waiting for another turn of the executor. Each test blocks the thread right after the action, to
+//! simulate an executor with hundreds of other tasks to poll first.
 
 use std::{
     future::Future,
@@ -19,10 +20,11 @@
 use kingcupgrade::transport::gateway::pool::{Connection, Pool};
 use tokio::task::LocalSet;
 
-/// How long the processor is busy with others.
+/// How long the executor is blocked.
 const BUSY: Duration = Duration::from_millis(1_500);
-/// What must have happened meanwhile has happened by then.
-const SOON: Duration = Duration::from_millis(500);
+/// Upper bound on the time until the upstream sees an action; shorter than [`BUSY`], so that an
+/// action that waits for the executor exceeds it.
+const MAX_DELAY: Duration = Duration::from_millis(500);
 
 const ANSWER: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
@@ -31,7 +33,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), task);
 }
 
-/// An upstream; tells when its caller's request came, and when the connection was closed.
+/// Starts an upstream that reports when a request arrives and when a connection is closed.
 fn start(answer: &'static str) -> (SocketAddr, mpsc::Receiver<(&'static str, Instant)>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -46,9 +48,9 @@
 }
 
 fn serve(mut stream: TcpStream, answer: &str, tx: &mpsc::Sender<(&'static str, Instant)>) {
-    let mut piece = [0; 4096];
-    while stream.read(&mut piece).is_ok_and(|read| read > 0) {
-        // The test may have ended.
+    let mut buf = [0; 4096];
+    while stream.read(&mut buf).is_ok_and(|read| read > 0) {
+        // Sending fails if the test has ended.
         let _ = tx.send(("request", Instant::now()));
         let _ = stream.write_all(answer.as_bytes());
     }
@@ -64,8 +66,8 @@
     Request::new(Full::new(Bytes::from_static(b"prompt")))
 }
 
-/// Guards against an upstream that works on for a caller who has left, until a busy entry comes
-/// round to closing the connection.
+/// Guards against an upstream that keeps processing the request of a caller that has disconnected,
+/// until an overloaded entry gets to closing the connection.
 #[test]
 fn a_connection_that_is_dropped_is_closed_at_once() {
     let (address, rx) = start(ANSWER);
@@ -75,14 +77,14 @@
         let dropped = Instant::now();
         drop(connection);
         thread::sleep(BUSY);
-        let (what, at) = rx.recv_timeout(BUSY).expect("a closed connection");
-        assert_eq!(what, "closed");
-        assert!(at - dropped < SOON, "closed after {:?}", at - dropped);
+        let (event, at) = rx.recv_timeout(BUSY).expect("a closed connection");
+        assert_eq!(event, "closed");
+        assert!(at - dropped < MAX_DELAY, "closed after {:?}", at - dropped);
     });
 }
 
-/// Guards against a request that waits for another turn after it was decided on, and reaches its
-/// upstream when its caller has left.
+/// Guards against a request that is placed on an upstream, waits for another turn of the executor
+/// to be written, and reaches the upstream after its caller has disconnected.
 #[test]
 fn a_request_is_written_in_the_turn_that_sends_it() {
     let (address, rx) = start(ANSWER);
@@ -101,13 +103,13 @@
             polled
         });
         assert!(busy.await.is_ok_and(|response| response.status().is_success()));
-        let (what, at) = rx.recv_timeout(BUSY).expect("a request");
-        assert_eq!(what, "request");
-        assert!(at - sent < SOON, "sent after {:?}", at - sent);
+        let (event, at) = rx.recv_timeout(BUSY).expect("a request");
+        assert_eq!(event, "request");
+        assert!(at - sent < MAX_DELAY, "sent after {:?}", at - sent);
     });
 }
 
-/// Guards against a connection that is made anew for each request though the one before is free.
+/// Guards against a new connection for each request although the previous one is idle.
 #[test]
 fn a_connection_whose_answer_was_read_is_used_again() {
     let (address, rx) = start(ANSWER);
@@ -121,13 +123,13 @@
             assert_eq!(body.to_bytes(), "ok");
             pool.give_back(connection);
         }
-        let events: Vec<_> = rx.try_iter().map(|(what, _)| what).collect();
+        let events: Vec<_> = rx.try_iter().map(|(event, _)| event).collect();
         assert_eq!(events, ["request"; 3]);
     });
 }
 
-/// Guards against a request that is sent on a connection with bytes on it that nobody asked for: they
-/// would be taken for its answer.
+/// Guards against reuse of a connection on which the upstream sent more bytes than the answer: they
+/// would be parsed as the answer to the next request.
 #[test]
 fn a_connection_with_bytes_beyond_its_answer_is_not_used_again() {
     let (address, rx) =
@@ -142,7 +144,7 @@
         let again = connect(&pool, address).await;
         drop(again);
         let events = std::iter::from_fn(|| rx.recv_timeout(BUSY).ok());
-        let closed = events.take(3).filter(|(what, _)| *what == "closed").count();
-        assert_eq!(closed, 2, "the first connection was kept");
+        let closed = events.take(3).filter(|(event, _)| *event == "closed").count();
+        assert_eq!(closed, 2, "the first connection was reused");
     });
 }
