--- a/tests/testsuite/course.rs
+++ b/tests/testsuite/course.rs
@@ -1,4 +1,4 @@
-//! How answered requests are judged.
+//! Classification of answered requests: on time, or by what made them late.
 
 use kingcupgrade::{
     core::Millis,
@@ -18,8 +18,8 @@
     }
 }
 
-/// Guards against late answers that are blamed on the wrong cause: whoever looks for why callers
-/// wait would mend the queue for a slow upstream, or the other way round.
+/// Guards against late answers that are attributed to the wrong cause: an operator who investigates
+/// the latency would tune the queue when an upstream is slow, or the reverse.
 #[test]
 fn a_late_answer_is_counted_under_what_made_it_late() {
     assert_eq!(times(200, 200, 250).judge(), Judgement::OnTime);
@@ -29,6 +29,6 @@
     assert_eq!(repeated.judge(), Judgement::LateRepeated);
     let paused = Times { longest_pause: Millis(400), ..times(0, 200, 300) };
     assert_eq!(paused.judge(), Judgement::Paused);
-    // Nothing is said of pauses where the route allows any.
+    // A route without a limit on pauses never counts an answer as paused.
     assert_eq!(Times { max_pause: Millis::ZERO, ..paused }.judge(), Judgement::OnTime);
 }
