--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -1,4 +1,5 @@
-//! What must not be repeated runs at most once, and "not run" is always true.
+//! Requests that must not repeat: each runs at most once, and `not-run` is reported only for
+//! requests that did not run.
 
 use std::{thread, time::Duration};
 
@@ -24,29 +25,30 @@
     world.plains.iter().map(|plain| plain.runs_of(key)).sum()
 }
 
-/// Starts a world whose plain service is reached over a proxy only.
+/// Starts a fleet whose plain service is reachable only through a fault-injecting proxy.
 fn start_behind_proxy(entries: usize) -> (World, Proxy) {
     let world = start(&["north"], entries, &EngineConfig::default());
-    let behind = Proxy::start(world.plains[0].address());
+    let proxy = Proxy::start(world.plains[0].address());
     let plain = Backend::Plain(world.plains[0].clone());
-    world.platform.add("orders-behind", "orders", "north", behind.address(), plain);
+    world.platform.add("orders-behind", "orders", "north", proxy.address(), plain);
     world.platform.leave("orders-north");
     let world = world.with_documents();
-    // For the platform's list to show the direct way as leaving.
+    // Until the platform's list shows the upstream at its direct address as leaving.
     thread::sleep(Duration::from_secs(1));
-    (world, behind)
+    (world, proxy)
 }
 
-/// Sends a deposit in the background, to be cut off with its entry.
-fn deposit_later(world: &World, entry: &str, key: &'static str) -> thread::JoinHandle<Answer> {
+/// Sends a deposit from a background thread, so that its entry can be killed in the meantime.
+fn spawn_deposit(world: &World, entry: &str, key: &'static str) -> thread::JoinHandle<Answer> {
     let address = world.fleet.entry(entry);
     thread::spawn(move || {
         Caller::new(&token("alder")).post(address, "/orders/deposits", "50", Some(key))
     })
 }
 
-// A bride's browser sends the deposit twice, through two entries. The second gets the first
-// answer, or "in progress" for the moment until that answer is in the record; another amount under the same key is refused, and so is a deposit without a key.
+// Guards against a deposit that is charged twice because a caller sends it again, through another
+// entry. The repeated request gets the first answer, or "in progress" until that answer is in the
+// record. A different amount under the same key is refused, and so is a deposit without a key.
 #[test]
 fn a_repeated_deposit_gets_the_first_answer() {
     let world = start(&["north"], 3, &EngineConfig::default()).with_documents();
@@ -69,19 +71,20 @@
     assert_eq!(runs(&world, "k1"), 1);
 }
 
-// The entry dies while the deposit still waits for a slot. Nothing was claimed or sent, so the
-// retry through another entry runs it, once.
+// Guards against a deposit that can't be retried after its entry crashed while the deposit was
+// queued for a slot. Its key was not claimed and nothing was sent, so the retry through another
+// entry runs it, once.
 #[test]
 fn a_deposit_lost_before_its_claim_runs_on_the_retry() {
     let mut world = start(&["north"], 3, &EngineConfig::default()).with_documents();
     let rest = "never_repeat:\n  - {method: POST, path: /deposits}\n\
                 slots: {cold: 1, warm: 1}\nlimits: {deadline_ms: 20000, silence_ms: 9000}\n";
-    let narrow = document("orders", "plain-service", &[("alder", 1)], rest);
-    world.fleet.apply("orders", 1, &narrow).expect("a single slot in force");
+    let single_slot = document("orders", "plain-service", &[("alder", 1)], rest);
+    world.fleet.apply("orders", 1, &single_slot).expect("the document with one slot applied");
     world.plains[0].set_delay(Duration::from_secs(4));
-    let first = deposit_later(&world, "entry-north-0", "running");
+    let first = spawn_deposit(&world, "entry-north-0", "running");
     assert!(wait_until(PATIENCE, || runs(&world, "running") == 1));
-    let second = deposit_later(&world, "entry-north-1", "waiting");
+    let second = spawn_deposit(&world, "entry-north-1", "waiting");
     let queued = || world.fleet.status("entry-north-1").is_ok_and(|s| s.open_requests == 1);
     assert!(wait_until(PATIENCE, queued));
     world.fleet.kill("entry-north-1");
@@ -93,13 +96,14 @@
     assert_eq!((runs(&world, "running"), runs(&world, "waiting")), (1, 1));
 }
 
-// The entry dies after it claimed the key and before the service got the request. Nobody can know
-// that it did not run, so it is never called "not run", and never run either.
+// Guards against a wrong outcome after an entry crashed between claiming a key and the arrival of
+// the request at the service. No other instance can know whether the request ran, so a retry is
+// answered `unknown`, never `not-run`, and does not run the request.
 #[test]
 fn a_deposit_lost_after_its_claim_is_not_run_again() {
-    let (mut world, behind) = start_behind_proxy(3);
-    behind.cut(true);
-    let lost = deposit_later(&world, "entry-north-0", "claimed");
+    let (mut world, proxy) = start_behind_proxy(3);
+    proxy.cut(true);
+    let lost = spawn_deposit(&world, "entry-north-0", "claimed");
     let claimed = || {
         let status = world.fleet.status("control-north");
         status.is_ok_and(|s| s.control.is_some_and(|control| control.keys == 1))
@@ -110,18 +114,18 @@
     let retried = deposit(&world, "entry-north-1", "claimed", "50");
     assert_eq!(retried.outcome, "unknown", "{retried:?}");
     assert_eq!(retried.code, 2008, "{retried:?}");
-    behind.reset_open();
-    behind.cut(false);
+    proxy.reset_open();
+    proxy.cut(false);
     assert!(runs(&world, "claimed") <= 1);
 }
 
-// The entry dies after the service began the deposit. The retry through another entry must not
-// charge it a second time, whatever it answers.
+// Guards against a deposit charged twice because its entry crashed after the service had begun to
+// process it: a retry through another entry must not run it again, and is answered `unknown`.
 #[test]
 fn a_deposit_lost_after_it_was_sent_runs_once() {
     let mut world = start(&["north"], 3, &EngineConfig::default()).with_documents();
     world.plains[0].set_delay(Duration::from_secs(3));
-    let lost = deposit_later(&world, "entry-north-0", "sent");
+    let lost = spawn_deposit(&world, "entry-north-0", "sent");
     assert!(wait_until(PATIENCE, || runs(&world, "sent") == 1));
     world.fleet.kill("entry-north-0");
     assert_eq!(lost.join().expect("a caller").status, 0);
@@ -132,15 +136,15 @@
     assert_eq!(runs(&world, "sent"), 1);
 }
 
-// The service breaks off after it has run the deposit. The entry can't know, says so, and does not
-// try again by itself.
+// Guards against an automatic retry of a deposit whose connection broke after the service had run
+// it. The entry can't tell whether it ran: it answers `unknown` and does not retry.
 #[test]
 fn a_deposit_whose_answer_breaks_off_is_unknown_and_not_retried() {
-    let (world, behind) = start_behind_proxy(1);
+    let (world, proxy) = start_behind_proxy(1);
     world.plains[0].set_delay(Duration::from_secs(3));
-    let broken = deposit_later(&world, "entry-north-0", "broken");
+    let broken = spawn_deposit(&world, "entry-north-0", "broken");
     assert!(wait_until(PATIENCE, || runs(&world, "broken") == 1));
-    behind.reset_open();
+    proxy.reset_open();
     let answer = broken.join().expect("a caller");
     assert_eq!((answer.code, answer.outcome.as_str()), (4002, "unknown"), "{answer:?}");
     let retried = deposit(&world, "entry-north-0", "broken", "50");
@@ -148,8 +152,9 @@
     assert_eq!(runs(&world, "broken"), 1);
 }
 
-// Two of three control instances are gone, and no key can be claimed. The deposit is refused as
-// not run, and it runs under the same key when the record is back.
+// Guards against a deposit that runs without a claim, or is lost for good, while two of three
+// control instances are down. Without a quorum no key can be claimed: the deposit is refused with
+// the outcome `not-run`, and runs under the same key once the quorum is restored.
 #[test]
 fn without_a_quorum_a_deposit_is_refused_as_not_run() {
     let mut world =
@@ -171,15 +176,16 @@
     assert_eq!(runs(&world, "later"), 1);
 }
 
-// A single instance is entry and record at once, and its disk fills up in the middle of deposits.
-// A deposit whose claim could not be written must not be sent: after a restart nobody would know
-// of it, and its retry would charge the bride a second time.
+// Guards against a deposit that is sent although its claim could not be written: after a restart
+// there is no trace of it, and its retry would charge the customer twice. A single instance has
+// both roles, and its disk fills up while deposits are processed.
 #[test]
 fn a_deposit_whose_claim_can_not_be_written_is_not_sent() {
-    // Limits of which some are reached by a claim and some by its end.
-    let runs = [40, 41, 42, 43].map(|blocks| thread::spawn(move || fill_disk(blocks)));
-    for run in runs {
-        run.join().expect("each deposit runs at most once");
+    // Several limits, so that some are reached while writing a claim and some while writing its
+    // completion.
+    let threads = [40, 41, 42, 43].map(|blocks| thread::spawn(move || fill_disk(blocks)));
+    for thread in threads {
+        thread.join().expect("each deposit runs at most once");
     }
 }
 
@@ -192,7 +198,7 @@
     let mut fleet = Fleet::prepare(daemon(), &[plan], &platform, false).expect("a prepared fleet");
     fleet.run_as("all", &daemon_with_full_disk(blocks)).expect("a started instance");
     assert!(wait_until(PATIENCE, || fleet.leader().is_some()));
-    fleet.apply("orders", 0, &orders_document()).expect("the document in force");
+    fleet.apply("orders", 0, &orders_document()).expect("the document applied");
     fleet.wait_for_dispatchers("orders").expect("a dispatcher");
     let failed = |fleet: &Fleet| {
         let control = fleet.status("all").ok().and_then(|status| status.control);
@@ -210,9 +216,9 @@
         assert!(answer.outcome != "done" || runs == 1, "{key} did not run: {answer:?}");
         keys.push(key);
     }
-    assert!(failed(&fleet), "the disk never filled up");
+    assert!(failed(&fleet), "the file size limit was never reached");
     fleet.kill("all");
-    fleet.run("all").expect("a started instance on a larger disk");
+    fleet.run("all").expect("a started instance without a file size limit");
     fleet.wait_for_dispatchers("orders").expect("a dispatcher");
     for key in keys.iter().rev().take(3) {
         deposit(key);
