--- a/tests/testsuite/disk.rs
+++ b/tests/testsuite/disk.rs
@@ -1,4 +1,5 @@
-//! The data folder: torn ends are cut, damaged middles refused, failed writes reported.
+//! The data folder: a torn write at the end of the log is truncated, other corruption is refused,
+//! and failed writes are reported.
 
 use std::{
     fs,
@@ -16,6 +17,7 @@
     },
 };
 
+/// A temporary folder, removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -45,9 +47,9 @@
     LogEntry { index, term: 1, unix_ms: index, payload: Payload::Noop }
 }
 
-/// Founds a replica and writes entries 1 to `count`, each in a write of its own.
-fn filled(folder: &Path, count: u64) -> Log {
-    disk::found(folder, &instance(), &[instance()]).expect("a founded replica");
+/// Initialises the folder of a replica and writes entries 1 to `count`, each in its own write.
+fn write_entries(folder: &Path, count: u64) -> Log {
+    disk::found(folder, &instance(), &[instance()]).expect("an initialised replica");
     let (mut disk, contents) = Disk::open(folder, &instance(), 2).expect("an open folder");
     let mut log = contents.stored.log;
     for index in 1..=count {
@@ -57,12 +59,13 @@
     log
 }
 
-// Power fails in the middle of the last write. It was never acknowledged; what came before it is
-// there, and the instance starts and writes on.
+// Guards against an instance that does not start, or loses entries, after a power failure during
+// its last write. That write was never acknowledged: it is truncated, the entries before it are
+// kept, and the instance continues writing.
 #[test]
 fn a_torn_last_write_is_cut_and_the_rest_kept() {
     let folder = Folder::new();
-    filled(folder.path(), 5);
+    write_entries(folder.path(), 5);
     let path = folder.path().join("log");
     let bytes = fs::read(&path).expect("a log");
     for cut in [1, 10, 30] {
@@ -79,12 +82,12 @@
     assert_eq!((contents.stored.log.last().index, contents.torn), (5, 0));
 }
 
-// A sector goes bad in the middle of the log. Cutting there would drop acknowledged entries
-// without a word, so the folder is refused with file and place.
+// Guards against the silent loss of acknowledged entries when a sector in the middle of the log is
+// corrupted and the log is truncated there. The folder is refused, with the file and the offset.
 #[test]
 fn a_damaged_middle_is_refused_wherever_it_is() {
     let folder = Folder::new();
-    filled(folder.path(), 5);
+    write_entries(folder.path(), 5);
     let path = folder.path().join("log");
     let bytes = fs::read(&path).expect("a log");
     let frame = bytes.len() / 5;
@@ -98,7 +101,8 @@
     }
 }
 
-// A length is damaged so that the frame seems to reach beyond the end, as a torn write would.
+// Guards against a corrupted length that makes a frame extend beyond the end of the file, as after
+// a torn write: truncating there would drop the intact frames that follow it.
 #[test]
 fn a_damaged_length_is_not_taken_for_a_torn_write() {
     let mut bytes = Vec::new();
@@ -112,12 +116,12 @@
     assert_eq!(tail, Tail::Corrupt(frame));
 }
 
-// A snapshot replaces the log's beginning; a crash between the two leaves both, and reading the
-// folder must not apply the covered entries twice or stumble over them.
+// Guards against entries applied twice, or a folder that can't be read, after a crash between
+// writing a snapshot and truncating the log: both then hold the entries that the snapshot covers.
 #[test]
 fn a_crash_between_snapshot_and_log_loses_nothing() {
     let folder = Folder::new();
-    let mut log = filled(folder.path(), 6);
+    let mut log = write_entries(folder.path(), 6);
     let old = fs::read(folder.path().join("log")).expect("a log");
     let (mut disk, contents) = Disk::open(folder.path(), &instance(), 2).expect("an open folder");
     let members = contents.stored.log.snapshot().members.clone();
@@ -127,7 +131,7 @@
     disk.write(vec![Persist::Snapshot(snapshot)], &log).expect("a snapshot");
     for bytes in [None, Some(old)] {
         if let Some(bytes) = bytes {
-            fs::write(folder.path().join("log"), bytes).expect("the log from before");
+            fs::write(folder.path().join("log"), bytes).expect("the log before the snapshot");
         }
         let contents = disk::read(folder.path()).expect("a readable folder");
         let log = contents.stored.log;
@@ -135,13 +139,14 @@
     }
 }
 
-// The file for the snapshot can't be made. The caller is told, and the snapshot in force stays.
+// Guards against a failed write that is not reported or damages stored data: when the new snapshot
+// file can't be created, the write returns an error and the current snapshot and log are kept.
 #[test]
 fn a_failed_write_is_reported_and_harms_nothing() {
     let folder = Folder::new();
-    let mut log = filled(folder.path(), 3);
+    let mut log = write_entries(folder.path(), 3);
     let (mut disk, contents) = Disk::open(folder.path(), &instance(), 2).expect("an open folder");
-    fs::create_dir(folder.path().join("snapshot.new")).expect("a folder in the way");
+    fs::create_dir(folder.path().join("snapshot.new")).expect("a folder in place of the file");
     let members = contents.stored.log.snapshot().members.clone();
     let position = Position { term: 1, index: 2 };
     let snapshot = Snapshot { position, members, data: Vec::new() };
@@ -152,14 +157,15 @@
     assert_eq!(contents.stored.log.last().index, 3);
 }
 
-// A folder is mounted at the wrong instance, or founded twice.
+// Guards against an instance that uses the folder of another one, as after a wrong mount, and
+// against initialising a folder twice.
 #[test]
 fn a_foreign_folder_is_refused() {
     let folder = Folder::new();
-    filled(folder.path(), 1);
+    write_entries(folder.path(), 1);
     let err = Disk::open(folder.path(), &"control-1".into(), 2).expect_err("a refused folder");
     assert_eq!(err.code, Code::DataForeign);
-    let err =
-        disk::found(folder.path(), &instance(), &[instance()]).expect_err("a second founding");
+    let err = disk::found(folder.path(), &instance(), &[instance()])
+        .expect_err("a second initialisation");
     assert_eq!(err.code, Code::DataForeign);
 }
