--- a/tests/testsuite/events.rs
+++ b/tests/testsuite/events.rs
@@ -1,36 +1,36 @@
-//! Whole events of streamed answers, however their bytes arrive.
+//! Splitting of streamed answers into complete events.
 
 use bytes::Bytes;
 use kingcupgrade::transport::gateway::events::EventCutter;
 use proptest::prelude::*;
 
 proptest! {
-    /// An upstream's bytes arrive in pieces that have nothing to do with its events, and it may
-    /// stop in the middle of one. A caller must get whole events only, each once and in order.
+    /// Guards against partial, duplicated or reordered events at the caller: an upstream's bytes
+    /// arrive in pieces unrelated to event boundaries, and may end in the middle of an event.
     #[test]
     fn events_are_passed_on_whole_however_they_arrive(
         count in 1_u64..40,
-        cuts in proptest::collection::vec(1_usize..50, 1..60),
+        sizes in proptest::collection::vec(1_usize..50, 1..60),
         missing in 0_usize..20,
     ) {
-        let whole: String = (1..=count).map(|id| format!("id: {id}\ndata: piece {id}\n\n")).collect();
-        let sent = &whole.as_bytes()[..whole.len().saturating_sub(missing)];
+        let stream: String = (1..=count).map(|id| format!("id: {id}\ndata: piece {id}\n\n")).collect();
+        let sent = &stream.as_bytes()[..stream.len().saturating_sub(missing)];
         let mut cutter = EventCutter::default();
-        let (mut passed, mut last, mut events) = (Vec::new(), None, 0);
-        let (mut at, mut turn) = (0, 0);
-        while at < sent.len() {
-            let end = (at + cuts[turn % cuts.len()]).min(sent.len());
-            if let Some(cut) = cutter.push(&Bytes::copy_from_slice(&sent[at..end])) {
-                prop_assert!(cut.bytes.ends_with(b"\n\n"));
-                passed.extend_from_slice(&cut.bytes);
-                last = cut.last_id.or(last);
-                events += u64::from(cut.count);
+        let (mut forwarded, mut last_id, mut events) = (Vec::new(), None, 0);
+        let (mut offset, mut round) = (0, 0);
+        while offset < sent.len() {
+            let end = (offset + sizes[round % sizes.len()]).min(sent.len());
+            if let Some(complete) = cutter.push(&Bytes::copy_from_slice(&sent[offset..end])) {
+                prop_assert!(complete.bytes.ends_with(b"\n\n"));
+                forwarded.extend_from_slice(&complete.bytes);
+                last_id = complete.last_id.or(last_id);
+                events += u64::from(complete.count);
             }
-            (at, turn) = (end, turn + 1);
+            (offset, round) = (end, round + 1);
         }
-        prop_assert_eq!(passed.as_slice(), &sent[..passed.len()]);
-        prop_assert_eq!(passed.len() + cutter.pending(), sent.len());
-        prop_assert_eq!(last.unwrap_or(0), events);
-        prop_assert_eq!(cutter.pending() == 0, missing == 0 || passed.len() == sent.len());
+        prop_assert_eq!(forwarded.as_slice(), &sent[..forwarded.len()]);
+        prop_assert_eq!(forwarded.len() + cutter.pending(), sent.len());
+        prop_assert_eq!(last_id.unwrap_or(0), events);
+        prop_assert_eq!(cutter.pending() == 0, missing == 0 || forwarded.len() == sent.len());
     }
 }
