--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -1,4 +1,4 @@
-//! Finding out afterwards what became of a request.
+//! The `explain` command: the history of a request, from the logs of all processes.
 
 use std::{fs, path::PathBuf};
 
@@ -10,9 +10,9 @@
     path
 }
 
-/// An engineer on call has a request's id and the logs of all processes, one of them cut off in a
-/// line and with a collector's words before each. The lines of that request come in order, the one
-/// that decided is named, and what can't be read is said and hides nothing.
+/// Guards against lines of a request that are missed, out of order or mixed with those of another
+/// request, when one log has collector prefixes and is truncated in the middle of a line. The line
+/// that decided the outcome is named, and unreadable lines are counted and hide no others.
 #[test]
 fn the_lines_of_a_request_are_joined_over_all_logs() {
     let first = write(
@@ -37,7 +37,8 @@
     }
 }
 
-/// A log that is not there must be said: without it the story may be another one.
+/// Guards against a missing log file that is silently skipped: without its lines the explanation
+/// may be wrong.
 #[test]
 fn a_log_that_is_not_there_is_an_error() {
     let err = ops::explain("id-7", ["/nowhere/at/all.log"]).expect_err("no such log");
