--- a/tests/testsuite/input.rs
+++ b/tests/testsuite/input.rs
@@ -1,4 +1,5 @@
-//! Bad input: a numbered error that says where and what, nothing accepted in part, nothing lost.
+//! Invalid input: rejected as a whole, with a numbered error that states place and reason, and
+//! without harm to other requests.
 
 use std::{
     io::{Read, Write},
@@ -44,8 +45,8 @@
     Settings::parse(&text.replace(from, to)).expect_err("refused settings").to_string()
 }
 
-// An operator's slip in a document would otherwise be in force half: the last of two shares wins,
-// or a pattern is shadowed by another and a deposit may repeat.
+// Guards against a document with a mistake that is applied in part: the last of two shares would
+// win, or one pattern would shadow another and a deposit could repeat.
 #[test]
 fn a_wrong_document_is_refused_with_place_and_reason() {
     let digest = "0".repeat(64);
@@ -74,7 +75,8 @@
     assert_snapshot!(errors.join("\n"));
 }
 
-// A settings file with a slip must not start an instance that does something else than it says.
+// Guards against an instance that starts from a settings file with a mistake and behaves in a way
+// other than the file states.
 #[test]
 fn wrong_settings_are_refused_with_place_and_reason() {
     let errors = [
@@ -89,27 +91,28 @@
     assert_snapshot!(errors.join("\n"));
 }
 
-/// Sends bytes as they are and returns all that comes back.
-fn ask_raw(entry: SocketAddr, bytes: &[u8]) -> String {
-    let mut raw = TcpStream::connect(entry).expect("a connection");
-    // The entry may answer and close before it has read all.
-    let _ = raw.write_all(bytes);
+/// Sends raw bytes and returns everything that is received.
+fn send_raw(entry: SocketAddr, bytes: &[u8]) -> String {
+    let mut stream = TcpStream::connect(entry).expect("a connection");
+    // The entry may answer and close the connection before it has read everything.
+    let _ = stream.write_all(bytes);
     let mut answer = String::new();
-    let _ = raw.read_to_string(&mut answer);
+    let _ = stream.read_to_string(&mut answer);
     answer
 }
 
-// Callers make mistakes all day. Each gets a number and a reason, and the entry goes on.
+// Guards against invalid requests that are answered without a code and a reason, or that disturb
+// the entry: it must serve the next valid request.
 #[test]
 fn wrong_requests_are_refused_with_numbers() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
     let entry = world.fleet.entry("entry-north-0");
     let caller = Caller::new(&token("alder"));
-    let stranger = Caller::new("no such token");
+    let unauthorized = Caller::new("no such token");
     let large = "x".repeat(2 << 20);
     let long_path = format!("/tutor/{}", "x".repeat(40_000));
     let codes = [
-        stranger.post(entry, "/tutor/generate", "{}", None).code,
+        unauthorized.post(entry, "/tutor/generate", "{}", None).code,
         caller.post(entry, "/nothing/there", "{}", None).code,
         caller.post(entry, "/", "{}", None).code,
         caller.post(entry, "/tutor/generate", &large, None).code,
@@ -118,19 +121,19 @@
         caller.post(entry, "/orders/deposits", "50", Some(&"k".repeat(300))).code,
     ];
     assert_eq!(codes, [2002, 2003, 2001, 2004, 2005, 2006, 2001]);
-    let malformed = ask_raw(entry, b"this is not HTTP\r\n\r\n");
+    let malformed = send_raw(entry, b"this is not HTTP\r\n\r\n");
     assert!(malformed.starts_with("HTTP/1.1 400"), "{malformed}");
     assert!(malformed.to_ascii_lowercase().contains("kingcup-code: 2001"), "{malformed}");
     assert!(malformed.contains("\"outcome\":\"not-run\""), "{malformed}");
     let endless = format!("GET /tutor/ HTTP/1.1\r\nx: {}", "x".repeat(200_000));
-    let too_large = ask_raw(entry, endless.as_bytes());
+    let too_large = send_raw(entry, endless.as_bytes());
     assert!(too_large.to_ascii_lowercase().contains("kingcup-code: 2005"), "{too_large}");
     let asked = prompt("after", "alder", 3);
     assert!(caller.prompt(entry, "tutor", &asked).answers(&asked));
 }
 
-// Somebody without the fleet key connects and claims a lease. The frame is dropped and counted,
-// and whoever looks at the metrics sees that it was tried.
+// Guards against a lease message accepted from a peer without the fleet key. The frame is dropped,
+// and counted so that the attempt shows in the metrics.
 #[test]
 fn a_peer_without_the_fleet_key_is_dropped_and_counted() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
@@ -145,17 +148,19 @@
     settings.instance = "control-north".into();
     settings.fleet_key = "another key, just as long".to_owned();
     let (tx, _rx) = mpsc::channel();
-    let stranger =
-        Peers::start(PeerConfig::of(&Arc::new(settings), tx)).expect("a listening stranger");
-    let claim = Message::Lease(LeaseMessage::Announce { claims: Vec::new() });
-    stranger.send(&"entry-north-0".into(), &claim);
-    let counted = || world.fleet.metrics("entry-north-0").contains("kingcup_peer_frames_refused 1");
-    assert!(wait_until(PATIENCE, counted), "the frame is not counted");
+    let impostor =
+        Peers::start(PeerConfig::of(&Arc::new(settings), tx)).expect("a listening impostor");
+    let announcement = Message::Lease(LeaseMessage::Announce { claims: Vec::new() });
+    impostor.send(&"entry-north-0".into(), &announcement);
+    let is_counted =
+        || world.fleet.metrics("entry-north-0").contains("kingcup_peer_frames_refused 1");
+    assert!(wait_until(PATIENCE, is_counted), "the frame is not counted");
     let asked = prompt("after", "alder", 3);
     let entry = world.fleet.entry("entry-north-0");
     assert!(Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked));
 }
 
+/// Runs the `kingcup` tool; returns its exit code and its combined output.
 fn kingcup(fleet: &std::path::Path, args: &[&str]) -> (Option<i32>, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_kingcup"))
         .arg("--fleet")
@@ -168,14 +173,15 @@
     (output.status.code(), text)
 }
 
-// An operator works with the tool alone: each step says what came of it, in words and by exit code.
+// Guards against a step of the operator's tool whose result is not evident from its output and its
+// exit code: operators have no other interface.
 #[test]
 fn the_operators_tool_applies_refuses_and_reports() {
     let world = start(&["north"], 1, &EngineConfig::default());
     let fleet = world.fleet.fleet_file().expect("a fleet file");
     let document = fleet.with_file_name("tutor-document.yaml");
     std::fs::write(&document, tutor_document()).expect("a written document");
-    let path = document.to_str().expect("a plain path");
+    let path = document.to_str().expect("a UTF-8 path");
     let steps: [&[&str]; 12] = [
         &["check", path],
         &["apply", path, "--change-id", "first"],
@@ -196,7 +202,7 @@
         let shown: Vec<&str> =
             step.iter().map(|a| if *a == path { "tutor.yaml" } else { *a }).collect();
         let text = text.replace(path, "tutor.yaml");
-        // How long a change took is not part of what is compared.
+        // How long a change took differs from run to run.
         let text: Vec<&str> =
             text.lines().filter(|line| !line.starts_with("in force on")).collect();
         report += &format!("$ kingcup {}\n{}\nexit {code:?}\n", shown.join(" "), text.join("\n"));
@@ -206,18 +212,18 @@
     assert_eq!(code, Some(0));
     assert!(status.contains("entry-north-0") && status.contains("leads the record"), "{status}");
     assert_eq!(kingcup(&fleet, &["nonsense"]).0, Some(2));
-    let held = fleet.with_file_name("control-north.data");
-    let (code, text) = kingcup(&fleet, &["verify", held.to_str().expect("a plain path")]);
+    let data = fleet.with_file_name("control-north.data");
+    let (code, text) = kingcup(&fleet, &["verify", data.to_str().expect("a UTF-8 path")]);
     assert_eq!(code, Some(0), "{text}");
-    // The instances go on after all of it.
-    let alive = || world.fleet.status("control-north").is_ok();
-    assert!(wait_until(Duration::from_secs(5), alive));
+    // The control instance still runs after all steps.
+    let is_running = || world.fleet.status("control-north").is_ok();
+    assert!(wait_until(Duration::from_secs(5), is_running));
 }
 
-// Somebody opens more connections than the entry has file descriptors. When they are gone the
-// entry must serve again; one that stops accepting for good looks healthy and answers nobody. The
-// last descriptor may go to an accepted connection or to something beside it, so both an odd and
-// an even number of them is tried.
+// Guards against an entry that stops accepting connections for good after callers have used up its
+// file descriptors: it looks healthy and answers nobody. It must serve again once the connections
+// are closed. The last descriptor may go to an accepted connection or to another use, so the test
+// runs with both an even and an odd limit.
 #[test]
 fn an_entry_out_of_file_descriptors_serves_again() {
     let mut world = start(&["north"], 1, &EngineConfig::default()).with_documents();
@@ -236,34 +242,35 @@
         };
         assert!(wait_until(PATIENCE, || is_served("before")));
         let failures = || world.fleet.log("entry-north-0").matches("accept-failed").count();
-        let earlier = failures();
-        let held: Vec<_> = (0..100).filter_map(|_| TcpStream::connect(entry).ok()).collect();
-        assert!(wait_until(PATIENCE, || failures() > earlier), "the limit was never reached");
-        drop(held);
-        assert!(wait_until(PATIENCE, || is_served("after")), "it does not serve again");
+        let before = failures();
+        let connections: Vec<_> = (0..100).filter_map(|_| TcpStream::connect(entry).ok()).collect();
+        assert!(wait_until(PATIENCE, || failures() > before), "the limit was never reached");
+        drop(connections);
+        assert!(wait_until(PATIENCE, || is_served("after")), "the entry does not serve again");
     }
 }
 
-// A balancer opens many connections at once and keeps them. Each is served however many others
-// are held; otherwise some of its requests wait until a connection of somebody else closes.
+// Guards against connections that are starved when a load balancer opens many at once and keeps
+// them open: each must be served however many others are open, or its requests wait until another
+// connection closes.
 #[test]
 fn connections_opened_at_once_and_held_are_all_served() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
     let entry = world.fleet.entry("entry-north-0");
-    // Frozen, the entry finds all of them at once when it goes on.
+    // The entry is suspended, so that it finds all connections pending at once when it resumes.
     world.fleet.signal("entry-north-0", "STOP");
-    let mut held: Vec<_> =
+    let mut connections: Vec<_> =
         (0..60).map(|_| TcpStream::connect(entry).expect("a connection")).collect();
-    for connection in &mut held {
+    for connection in &mut connections {
         let request = b"GET /nothing HTTP/1.1\r\nHost: entry\r\n\r\n";
         connection.write_all(request).expect("written");
     }
     world.fleet.signal("entry-north-0", "CONT");
     let is_served = |connection: &mut TcpStream| {
         connection.set_read_timeout(Some(PATIENCE)).expect("a timeout");
-        let mut first = [0; 12];
-        connection.read_exact(&mut first).is_ok() && first == *b"HTTP/1.1 404"
+        let mut status = [0; 12];
+        connection.read_exact(&mut status).is_ok() && status == *b"HTTP/1.1 404"
     };
-    // All at once stay open until the last was looked at.
-    assert!(held.iter_mut().all(is_served), "a connection waits for others to close");
+    // All connections stay open until the last one has been checked.
+    assert!(connections.iter_mut().all(is_served), "a connection waits for others to close");
 }
