--- a/tests/testsuite/isolation.rs
+++ b/tests/testsuite/isolation.rs
@@ -1,7 +1,9 @@
-//! Entries beside a control instance that reaches the entries but not the other control instances.
+//! Control instances isolated by a partial network partition: the isolated one still reaches the
+//! entries, but not the other control instances.
 //!
-//! Whole machines of entries and control instances, driven message by message. An operator changes
-//! the configuration all the while through those that have a majority.
+//! A deterministic simulation drives the state machines of entries and control instances message by
+//! message. Meanwhile configuration changes are submitted through the control instances that are
+//! not isolated.
 
 use std::{net::IpAddr, sync::Arc};
 
@@ -20,40 +22,43 @@
     state::log::Stored,
 };
 
-/// The step of time.
+/// The time that one step simulates. All times here are in milliseconds.
 const STEP: u64 = 10;
-/// How long a message is under way at most.
-const DELAY: u64 = 4;
+/// Upper bound on the delivery time of a message.
+const MAX_DELAY: u64 = 4;
 const CONTROLS: usize = 3;
 const ENTRIES: usize = 7;
-/// How long an entry may go by an older configuration after a newer one was acknowledged.
-const IN_FORCE_WITHIN: u64 = 2_000;
-const PATIENCE: Millis = Millis(900);
-/// The pause between two changes.
+/// How long an entry may use an older configuration after a newer one was acknowledged.
+const MAX_STALENESS: u64 = 2_000;
+/// The time limit of a configuration change.
+const CHANGE_TIMEOUT: Millis = Millis(900);
+/// The time between two configuration changes.
 const CHANGE_INTERVAL: u64 = 700;
-/// How long a control instance stays cut off.
-const CUT: u64 = 12_000;
-/// The pause between two cuts.
-const PAUSE: u64 = 8_000;
+/// How long a control instance stays isolated.
+const PARTITION_DURATION: u64 = 12_000;
+/// The time from the end of a partition to the next one.
+const PARTITION_INTERVAL: u64 = 8_000;
 
+/// A simulated instance.
 struct Host {
     settings: Arc<FleetSettings>,
     node: FleetNode,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     random: u64,
     hosts: Vec<Host>,
-    wire: Vec<(u64, Instance, Instance, Message)>,
-    /// The control instance that the others don't reach.
+    /// Messages in flight: delivery time, sender, receiver and message.
+    in_flight: Vec<(u64, Instance, Instance, Message)>,
+    /// The control instance that is cut off from the other control instances.
     isolated: Option<usize>,
     version: u64,
     next_change: u64,
-    /// Versions acknowledged, and when.
+    /// Acknowledged versions, each after the time of its acknowledgement.
     acknowledged: Vec<(u64, u64)>,
-    /// The longest time for which an entry went by an older version than an acknowledged one.
-    furthest_behind: u64,
+    /// The longest time for which an entry used a version older than an acknowledged one.
+    max_staleness: u64,
 }
 
 fn ip(host: usize) -> IpAddr {
@@ -81,26 +86,27 @@
     }
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        let mut world = World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        let mut simulation = Simulation {
             now: 0,
             random: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
             hosts: Vec::new(),
-            wire: Vec::new(),
+            in_flight: Vec::new(),
             isolated: None,
             version: 0,
             next_change: 2_000,
             acknowledged: Vec::new(),
-            furthest_behind: 0,
+            max_staleness: 0,
         };
         for host in 0..CONTROLS + ENTRIES {
-            let seed = world.draw(u64::MAX >> 12);
-            world.hosts.push(Host::new(host, seed));
+            let seed = simulation.draw(u64::MAX >> 12);
+            simulation.hosts.push(Host::new(host, seed));
         }
-        world
+        simulation
     }
 
+    /// Returns the next pseudo-random number below `below`.
     fn draw(&mut self, below: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -118,27 +124,28 @@
     fn step(&mut self) {
         self.now += STEP;
         let due = |(at, ..): &(u64, Instance, Instance, Message)| *at <= self.now;
-        let due: Vec<_> = self.wire.extract_if(.., |sent| due(sent)).collect();
+        let due: Vec<_> = self.in_flight.extract_if(.., |sent| due(sent)).collect();
         for (_, from, to, message) in due {
-            if let Some(host) = self.place(&to) {
+            if let Some(host) = self.index_of(&to) {
                 self.handle(host, FleetInput::Received(from, message));
             }
         }
         if self.now >= self.next_change {
             self.next_change = self.now + CHANGE_INTERVAL;
-            self.change();
+            self.submit_change();
         }
         for host in 0..self.hosts.len() {
             self.handle(host, FleetInput::Tick);
         }
-        self.look();
+        self.record_staleness();
     }
 
-    fn place(&self, instance: &Instance) -> Option<usize> {
+    fn index_of(&self, instance: &Instance) -> Option<usize> {
         self.hosts.iter().position(|host| host.settings.instance() == *instance)
     }
 
-    fn change(&mut self) {
+    /// Submits the next configuration to a random control instance, unless that is isolated.
+    fn submit_change(&mut self) {
         let host = self.draw(CONTROLS as u64) as usize;
         if self.isolated == Some(host) {
             return;
@@ -146,7 +153,7 @@
         self.version += 1;
         let (version, text) = (self.version, format!("configuration {}", self.version).into());
         let command = Command::Replace(StoredConfiguration { version, text, index: 0 });
-        self.handle(host, FleetInput::Asked(version, command, PATIENCE));
+        self.handle(host, FleetInput::Asked(version, command, CHANGE_TIMEOUT));
     }
 
     fn handle(&mut self, host: usize, input: FleetInput) {
@@ -169,76 +176,78 @@
     }
 
     fn send(&mut self, from: usize, to: Instance, message: Message) {
-        let Some(target) = self.place(&to) else { return };
-        let is_cut = |a: usize, b: usize| self.isolated == Some(a) && a != b && b < CONTROLS;
-        if is_cut(from, target) || is_cut(target, from) {
+        let Some(target) = self.index_of(&to) else { return };
+        let is_blocked = |a: usize, b: usize| self.isolated == Some(a) && a != b && b < CONTROLS;
+        if is_blocked(from, target) || is_blocked(target, from) {
             return;
         }
-        let at = self.now + 1 + self.draw(DELAY);
-        self.wire.push((at, self.hosts[from].settings.instance(), to, message));
+        let at = self.now + 1 + self.draw(MAX_DELAY);
+        self.in_flight.push((at, self.hosts[from].settings.instance(), to, message));
     }
 
-    /// Notes how far the entries are behind.
-    fn look(&mut self) {
+    /// Records for how long each entry has used an older version than an acknowledged one.
+    fn record_staleness(&mut self) {
         for host in &self.hosts[CONTROLS..] {
-            let version = host.node.view().whole().map_or(0, |whole| whole.version);
+            let version = host.node.view().whole().map_or(0, |view| view.version);
             let newer = self.acknowledged.iter().find(|(_, newer)| *newer > version);
-            let behind = newer.map_or(0, |(at, _)| self.now - at);
-            self.furthest_behind = self.furthest_behind.max(behind);
+            let staleness = newer.map_or(0, |(at, _)| self.now - at);
+            self.max_staleness = self.max_staleness.max(staleness);
         }
     }
 
     fn isolate(&mut self, host: usize) {
         self.isolated = Some(host);
-        self.run(CUT);
+        self.run(PARTITION_DURATION);
         self.isolated = None;
-        self.run(PAUSE);
+        self.run(PARTITION_INTERVAL);
     }
 
     fn leader(&self) -> usize {
         let leads = |host: &Host| {
             host.node.control().is_some_and(|control| control.consensus().is_leader())
         };
-        self.hosts.iter().position(leads).expect("somebody leads")
+        self.hosts.iter().position(leads).expect("a leader")
     }
 }
 
-/// Plays cuts of control instances; returns how far an entry was behind at most.
-fn play(seed: u64, cuts: impl Fn(&mut World) -> Vec<usize>) -> u64 {
-    let mut world = World::new(seed);
-    world.run(8_000);
-    for host in cuts(&mut world) {
-        world.isolate(host);
+/// Isolates control instances one after the other; returns the maximum staleness of an entry.
+fn simulate(seed: u64, partitions: impl Fn(&mut Simulation) -> Vec<usize>) -> u64 {
+    let mut simulation = Simulation::new(seed);
+    simulation.run(8_000);
+    for host in partitions(&mut simulation) {
+        simulation.isolate(host);
     }
-    assert!(world.acknowledged.len() > 20, "seed {seed}: hardly a change is accepted");
-    world.furthest_behind
+    assert!(simulation.acknowledged.len() > 20, "seed {seed}: too few changes were accepted");
+    simulation.max_staleness
 }
 
-/// Plays the same with several seeds, and checks each.
-fn check(cuts: impl Fn(&mut World) -> Vec<usize>) {
-    let behind = (1..=10).map(|seed| (seed, play(seed, &cuts)));
-    let late: Vec<(u64, u64)> = behind.filter(|(_, behind)| *behind > IN_FORCE_WITHIN).collect();
-    assert!(late.is_empty(), "seeds, and ms behind: {late:?}");
+/// Runs the simulation with ten seeds, and checks the staleness in each.
+fn check(partitions: impl Fn(&mut Simulation) -> Vec<usize>) {
+    let runs = (1..=10).map(|seed| (seed, simulate(seed, &partitions)));
+    let stale: Vec<(u64, u64)> = runs.filter(|(_, staleness)| *staleness > MAX_STALENESS).collect();
+    assert!(stale.is_empty(), "seeds, and staleness in ms: {stale:?}");
 }
 
-/// Guards against entries that go by an old configuration because the control instance that they
-/// ask follows nobody and has not heard so yet.
+/// Guards against entries that keep an old configuration because the control instance that they
+/// query is isolated from the leader and has not detected that yet.
 #[test]
 fn entries_leave_a_follower_that_is_cut_off() {
-    check(|world| {
-        let leader = world.leader();
+    check(|simulation| {
+        let leader = simulation.leader();
         (0..CONTROLS).filter(|host| *host != leader).collect()
     });
 }
 
-/// The same, where the one that is cut off leads.
+/// Guards against entries that keep an old configuration because they query a leader that is
+/// isolated and has not stepped down yet.
 #[test]
 fn entries_leave_a_leader_that_is_cut_off() {
-    check(|world| vec![world.leader()]);
+    check(|simulation| vec![simulation.leader()]);
 }
 
-/// The same, where cuts before have driven entries from one control instance to the next.
+/// Guards against entries that keep an old configuration after a series of partitions has made them
+/// switch from one control instance to another.
 #[test]
 fn entries_that_left_one_control_instance_after_the_other_stay_near_the_newest() {
-    check(|world| (0..6).map(|_| world.draw(CONTROLS as u64) as usize).collect());
+    check(|simulation| (0..6).map(|_| simulation.draw(CONTROLS as u64) as usize).collect());
 }
