--- a/tests/testsuite/load.rs
+++ b/tests/testsuite/load.rs
@@ -1,5 +1,5 @@
-//! Loads played against the decisions of one entry, with engines that read prompts one after the
-//! other and callers that come back once when they are told to.
+//! Load simulations of one entry's traffic decisions. Engines process prompts one after the other,
+//! and a refused caller retries once, after the time it was told to wait.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,94 +10,95 @@
 
 use crate::traffic::{demand, traffic};
 
-/// Milliseconds between two looks at the world.
+/// The time that one step simulates, in milliseconds.
 const STEP: u64 = 5;
-/// Tokens that an engine reads in a millisecond.
-const READ_RATE: f64 = 40.0;
-/// From the end of reading to the first event.
-const BEGINS: Millis = Millis(100);
+/// Prompt tokens that an engine processes in a millisecond.
+const PREFILL_RATE: f64 = 40.0;
+/// From the end of the prefill to the first event.
+const FIRST_EVENT_DELAY: Millis = Millis(100);
 /// From the first event to the last.
-const STREAMS: Millis = Millis(600);
+const STREAM_DURATION: Millis = Millis(600);
 const ENGINES: usize = 4;
-/// What a prompt reads of its own, in tokens; its shared parts are kept.
-const OWN_TOKENS: u32 = 2_000;
+/// Prompt tokens that an engine must process for each request; the other parts of the prompt are
+/// shared and cached.
+const UNCACHED_TOKENS: u32 = 2_000;
 
-/// Requests a second of an organisation.
-struct Asking {
+/// The request rates of an organisation, per second.
+struct OrganisationLoad {
     organisation: &'static str,
-    usual: u64,
-    flood: u64,
+    usual_rate: u64,
+    flood_rate: u64,
 }
 
-/// Who asked when, and on which try.
 struct Request {
     organisation: &'static str,
-    asked: Millis,
-    tries: u32,
+    first_sent: Millis,
+    retries: u32,
 }
 
-/// What became of the requests that were first asked in one second.
+/// Outcomes of the requests that were first sent within one second.
 #[derive(Debug, Default)]
 struct Second {
     on_time: u32,
     refused: u32,
 }
 
-struct World {
+struct Simulation {
     traffic: Traffic,
     requests: HashMap<RequestNo, Request>,
-    /// Until when each engine reads.
+    /// When each engine has processed the prompts that it was given.
     busy_until: HashMap<UpstreamName, f64>,
-    begins: BTreeMap<Millis, Vec<RequestNo>>,
-    ends: BTreeMap<Millis, Vec<RequestNo>>,
-    returns: BTreeMap<Millis, Vec<Request>>,
+    first_events: BTreeMap<Millis, Vec<RequestNo>>,
+    completions: BTreeMap<Millis, Vec<RequestNo>>,
+    retries: BTreeMap<Millis, Vec<Request>>,
+    /// Outcomes by the second in which requests were first sent.
     seconds: BTreeMap<u64, Second>,
     next: RequestNo,
 }
 
-impl World {
-    fn new(tokens_per_s: f64) -> World {
-        World {
+impl Simulation {
+    fn new(tokens_per_s: f64) -> Simulation {
+        Simulation {
             traffic: traffic(tokens_per_s, ENGINES),
             requests: HashMap::new(),
             busy_until: HashMap::new(),
-            begins: BTreeMap::new(),
-            ends: BTreeMap::new(),
-            returns: BTreeMap::new(),
+            first_events: BTreeMap::new(),
+            completions: BTreeMap::new(),
+            retries: BTreeMap::new(),
             seconds: BTreeMap::new(),
             next: 1,
         }
     }
 
-    fn ask(&mut self, now: Millis, request: Request) {
+    fn submit(&mut self, now: Millis, request: Request) {
         let no = self.next;
         self.next += 1;
         let session = no % 40;
-        let demand = demand(no, now, request.organisation, session, OWN_TOKENS);
+        let demand = demand(no, now, request.organisation, session, UNCACHED_TOKENS);
         self.requests.insert(no, request);
         if let Some(verdict) = self.traffic.admit(now, demand) {
-            self.carry_out(now, no, verdict);
+            self.apply(now, no, verdict);
         }
     }
 
-    fn carry_out(&mut self, now: Millis, no: RequestNo, verdict: Verdict) {
+    fn apply(&mut self, now: Millis, no: RequestNo, verdict: Verdict) {
         match verdict {
             Verdict::Start(grant) => {
                 let busy = self.busy_until.entry(grant.upstream).or_default();
-                *busy = busy.max(now.0 as f64) + f64::from(OWN_TOKENS) / READ_RATE;
-                let first = Millis(*busy as u64 / STEP * STEP) + BEGINS;
-                self.begins.entry(first).or_default().push(no);
-                self.ends.entry(first + STREAMS).or_default().push(no);
+                *busy = busy.max(now.0 as f64) + f64::from(UNCACHED_TOKENS) / PREFILL_RATE;
+                let first_event = Millis(*busy as u64 / STEP * STEP) + FIRST_EVENT_DELAY;
+                self.first_events.entry(first_event).or_default().push(no);
+                self.completions.entry(first_event + STREAM_DURATION).or_default().push(no);
             }
             Verdict::Refuse { retry_after, .. } => {
                 let request = self.requests.remove(&no).expect("a request");
-                if request.tries > 0 {
-                    self.second(request.asked).refused += 1;
+                if request.retries > 0 {
+                    self.second(request.first_sent).refused += 1;
                     return;
                 }
-                let back = Millis((now + retry_after).0 / STEP * STEP + STEP);
-                let again = Request { tries: 1, ..request };
-                self.returns.entry(back).or_default().push(again);
+                let retry_at = Millis((now + retry_after).0 / STEP * STEP + STEP);
+                let retry = Request { retries: 1, ..request };
+                self.retries.entry(retry_at).or_default().push(retry);
             }
         }
     }
@@ -107,67 +108,75 @@
     }
 
     fn step(&mut self, now: Millis) {
-        for no in self.begins.remove(&now).unwrap_or_default() {
+        for no in self.first_events.remove(&now).unwrap_or_default() {
             self.traffic.on_first_event(now, no);
-            let asked = self.requests[&no].asked;
-            let target = demand(no, asked, "-", 1, 1).target;
+            let first_sent = self.requests[&no].first_sent;
+            let target = demand(no, first_sent, "-", 1, 1).target;
             if now <= target {
-                self.second(asked).on_time += 1;
+                self.second(first_sent).on_time += 1;
             }
         }
-        for no in self.ends.remove(&now).unwrap_or_default() {
+        for no in self.completions.remove(&now).unwrap_or_default() {
             self.traffic.on_end(now, no, SendEnd::Answered);
             self.requests.remove(&no);
         }
-        for request in self.returns.remove(&now).unwrap_or_default() {
-            self.ask(now, request);
+        for request in self.retries.remove(&now).unwrap_or_default() {
+            self.submit(now, request);
         }
         let mut verdicts = Vec::new();
         self.traffic.poll(now, &mut verdicts);
         for (no, verdict) in verdicts {
-            self.carry_out(now, no, verdict);
+            self.apply(now, no, verdict);
         }
     }
 }
 
-/// Plays a load: `flood` requests a second from `flood_from` to `flood_until`, otherwise `usual`.
-fn play(asking: &[Asking], flood: std::ops::Range<u64>, seconds: u64) -> BTreeMap<u64, Second> {
-    // Half of what the engines read is promised.
-    let mut world = World::new(READ_RATE * 1_000.0 * ENGINES as f64 / 2.0);
+/// Simulates organisations that send requests at their flood rate during the seconds `flood`, and
+/// at their usual rate otherwise.
+fn simulate(
+    loads: &[OrganisationLoad],
+    flood: std::ops::Range<u64>,
+    seconds: u64,
+) -> BTreeMap<u64, Second> {
+    // The configured capacity is half of what the engines can process.
+    let mut simulation = Simulation::new(PREFILL_RATE * 1_000.0 * ENGINES as f64 / 2.0);
     for step in 0..seconds * 1_000 / STEP {
         let now = Millis(step * STEP);
-        world.step(now);
-        for who in asking {
-            let rate = if flood.contains(&(now.0 / 1_000)) { who.flood } else { who.usual };
+        simulation.step(now);
+        for load in loads {
+            let rate =
+                if flood.contains(&(now.0 / 1_000)) { load.flood_rate } else { load.usual_rate };
             let due = |at: u64| at * rate / 1_000;
             for _ in due(now.0)..due(now.0 + STEP) {
-                let request = Request { organisation: who.organisation, asked: now, tries: 0 };
-                world.ask(now, request);
+                let request =
+                    Request { organisation: load.organisation, first_sent: now, retries: 0 };
+                simulation.submit(now, request);
             }
         }
     }
-    world.seconds
+    simulation.seconds
 }
 
-/// The pattern: a few large organisations flood the fleet, and stop. Guards against refusing their
-/// usual load long after, with engines idle: what was refused came back, counted as asked for, and
-/// kept the shares closed.
+/// Guards against organisations whose usual load is refused long after a flood, while engines are
+/// idle. It comes about when a few large organisations flood the fleet and stop: refused requests
+/// are retried, the retries count as new demand, and the shares stay exhausted.
 #[test]
 fn a_flood_that_is_over_leaves_nobody_refused() {
-    let large = Asking { organisation: "large", usual: 22, flood: 150 };
-    let middle = Asking { organisation: "middle", usual: 14, flood: 90 };
-    let small = Asking { organisation: "small", usual: 6, flood: 6 };
-    let seconds = play(&[large, middle, small], 3..8, 16);
+    let large = OrganisationLoad { organisation: "large", usual_rate: 22, flood_rate: 150 };
+    let middle = OrganisationLoad { organisation: "middle", usual_rate: 14, flood_rate: 90 };
+    let small = OrganisationLoad { organisation: "small", usual_rate: 6, flood_rate: 6 };
+    let seconds = simulate(&[large, middle, small], 3..8, 16);
     let refused: u32 = (11..14).map(|second| seconds[&second].refused).sum();
     let on_time: u32 = (11..14).map(|second| seconds[&second].on_time).sum();
-    let of_flood: u32 = (4..8).map(|second| seconds[&second].refused).sum();
-    assert!(of_flood > 100, "the flood was to be more than the engines bear: {seconds:?}");
+    let refused_in_flood: u32 = (4..8).map(|second| seconds[&second].refused).sum();
+    assert!(refused_in_flood > 100, "the flood does not exceed the capacity: {seconds:?}");
     assert_eq!(refused, 0, "{seconds:?}");
     assert!(on_time >= 3 * 42 * 9 / 10, "{seconds:?}");
 }
 
-/// The pattern: engines are overrun once, then get little at a time. Guards against believing them
-/// slow for good: nothing that is sent to a slow engine would show that it is not.
+/// Guards against an engine that is estimated as slow for good after it was overloaded once and
+/// then gets few requests at a time: if the estimate kept requests away from it, no measurement
+/// would correct the estimate.
 #[test]
 fn engines_that_were_overrun_once_are_not_believed_slow_for_good() {
     let mut speed = EngineSpeed::default();
