--- a/tests/testsuite/pages.rs
+++ b/tests/testsuite/pages.rs
@@ -1,8 +1,9 @@
-//! Pages that must say what the program does.
+//! Documentation pages that must match the code.
 
 use kingcupgrade::core::Code;
 
-// A code added without its line in the table would leave an operator with a bare number.
+// Guards against a code that is added without a row in the table, so that an operator finds no
+// explanation of its number.
 #[test]
 fn the_table_of_codes_is_complete() {
     let page = include_str!("../../docs/CODES.md");
