--- a/tests/testsuite/peers.rs
+++ b/tests/testsuite/peers.rs
@@ -10,12 +10,12 @@
 
 use crate::support::{PATIENCE, start};
 
-/// Connections that are opened at once.
+/// The number of connections that are opened and held open together.
 const CONNECTIONS: usize = 100;
-/// Memory that one of them may take at the instance that accepts it, in bytes.
+/// The memory that each of them may take at the accepting instance, in bytes.
 const MAX_MEMORY: u64 = 40 << 10;
 
-/// Connects as another instance does, up to the greeting of the one that accepts.
+/// Connects as a peer does, and reads up to the greeting of the accepting instance.
 fn connect(address: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("a connection");
     let request = "GET / HTTP/1.1\r\nHost: peer\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n\
@@ -23,22 +23,22 @@
     stream.write_all(request.as_bytes()).expect("written");
     stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
     let mut answer = Vec::new();
-    let mut piece = [0; 512];
-    // The greeting is a frame behind the head.
+    let mut buf = [0; 512];
+    // The greeting is a frame that follows the response head.
     while answer
         .windows(4)
         .position(|end| end == b"\r\n\r\n")
         .is_none_or(|at| answer.len() == at + 4)
     {
-        let read = stream.read(&mut piece).expect("an answer");
+        let read = stream.read(&mut buf).expect("an answer");
         assert!(read > 0, "the connection is closed");
-        answer.extend_from_slice(&piece[..read]);
+        answer.extend_from_slice(&buf[..read]);
     }
     stream
 }
 
-/// Guards against an instance of a large fleet whose connections to the others fill its memory, a
-/// buffer for each that is far larger than any message.
+/// Guards against peer connections that exhaust an instance's memory in a large fleet, because each
+/// one has a buffer far larger than any message.
 #[test]
 fn a_connection_to_another_instance_takes_little_memory() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
@@ -47,10 +47,15 @@
     let address = Settings::parse(&text).expect("valid settings").own().address;
     let memory = || world.fleet.usage("entry-north-0").expect("a running entry").memory;
     let before = memory();
-    let held: Vec<TcpStream> = (0..CONNECTIONS).map(|_| connect(address)).collect();
-    // What is read by now shows in the memory; none of it is given back.
-    let is_read = || memory() > before;
-    assert!(wait_until(PATIENCE, is_read), "the connections take no memory at all");
+    let connections: Vec<TcpStream> = (0..CONNECTIONS).map(|_| connect(address)).collect();
+    // Each connection has received its greeting, so what it takes has been allocated; the process
+    // does not return that memory.
+    let has_grown = || memory() > before;
+    assert!(wait_until(PATIENCE, has_grown), "the connections take no memory at all");
     let taken = memory() - before;
-    assert!(taken < MAX_MEMORY * CONNECTIONS as u64, "{taken} bytes for {} of them", held.len());
+    assert!(
+        taken < MAX_MEMORY * CONNECTIONS as u64,
+        "{taken} bytes for {} connections",
+        connections.len()
+    );
 }
