--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -10,7 +10,7 @@
 
 use kingcup_support::{caller::Caller, engine::EngineConfig, fleet::token, wait_until};
 
-use crate::support::{PATIENCE, prompt, start, tutor_document};
+use crate::support::{TIMEOUT, prompt, start, tutor_document};
 
 // Guards against an entry that buffers an answer and sends it only at its end, so that the caller
 // sees nothing until the answer is complete. The engine records when it wrote the last event; the
@@ -64,12 +64,12 @@
     let answer =
         caller.post_with(entry, "/tutor/generate", &body, None, |line| !line.contains("long 5"));
     assert!(!answer.is_whole);
-    assert!(wait_until(PATIENCE, || world.engines[0].running() == 0), "the engine still runs it");
+    assert!(wait_until(TIMEOUT, || world.engines[0].running() == 0), "the engine still runs it");
     let is_released = || {
         let status = world.fleet.status("entry-north-0").expect("a status");
         status.pools.iter().flat_map(|pool| pool.upstreams.values()).all(|(used, _)| *used == 0)
     };
-    assert!(wait_until(PATIENCE, is_released), "the dispatcher still counts it");
+    assert!(wait_until(TIMEOUT, is_released), "the dispatcher still counts it");
 }
 
 // Guards against a queued request that outlives its caller: unless the entry removes it when the
@@ -90,7 +90,7 @@
         let keep_reading = |_: &str| matches!(ended.try_recv(), Err(mpsc::TryRecvError::Empty));
         Caller::new(&token("alder")).post_with(entry, "/tutor/generate", &body, None, keep_reading)
     });
-    assert!(wait_until(PATIENCE, || world.engines[0].running() == 1), "the first does not run");
+    assert!(wait_until(TIMEOUT, || world.engines[0].running() == 1), "the first does not run");
     let body = serde_json::to_string(&prompt("second", "alder", 3)).expect("plain data");
     let head = format!(
         "POST /tutor/generate HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer {}\r\n\
@@ -100,9 +100,9 @@
     );
     let mut second = TcpStream::connect(entry).expect("a connection");
     second.write_all((head + &body).as_bytes()).expect("written");
-    assert!(wait_until(PATIENCE, || open() == 2.0), "the second does not wait");
+    assert!(wait_until(TIMEOUT, || open() == 2.0), "the second does not wait");
     drop(second);
-    assert!(wait_until(PATIENCE, || open() == 1.0), "the second still waits");
+    assert!(wait_until(TIMEOUT, || open() == 1.0), "the second still waits");
     drop(end);
     first.join().expect("the first caller");
     let asked = prompt("third", "alder", 3);
@@ -130,15 +130,15 @@
             });
         (asked, answer)
     });
-    rx.recv_timeout(PATIENCE).expect("a first event");
+    rx.recv_timeout(TIMEOUT).expect("a first event");
     world.fleet.signal("entry-north-0", "TERM");
     let late = prompt("late", "alder", 1);
-    let refused = wait_until(PATIENCE, || {
+    let refused = wait_until(TIMEOUT, || {
         let answer = Caller::new(&token("alder")).prompt(entry, "tutor", &late);
         answer.code == 3004 && answer.outcome == "not-run"
     });
     assert!(refused, "a late request is not refused");
     let (asked, answer) = caller.join().expect("a caller");
     assert!(answer.answers(&asked), "{answer:?}");
-    assert!(world.fleet.wait_for_end("entry-north-0", PATIENCE), "the entry does not exit");
+    assert!(world.fleet.wait_for_end("entry-north-0", TIMEOUT), "the entry does not exit");
 }
--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -14,7 +14,7 @@
 };
 use kingcupgrade::core::settings::Role;
 
-use crate::support::{PATIENCE, World, daemon, daemon_with_full_disk, orders_document, start};
+use crate::support::{TIMEOUT, World, daemon, daemon_with_full_disk, orders_document, start};
 
 fn deposit(world: &World, entry: &str, key: &str, body: &str) -> Answer {
     let address = world.fleet.entry(entry);
@@ -54,7 +54,7 @@
     let world = start(&["north"], 3, &EngineConfig::default()).with_documents();
     let first = deposit(&world, "entry-north-0", "k1", "50");
     let mut second = deposit(&world, "entry-north-1", "k1", "50");
-    wait_until(PATIENCE, || {
+    wait_until(TIMEOUT, || {
         let is_recorded = second.code != 2008;
         if !is_recorded {
             second = deposit(&world, "entry-north-1", "k1", "50");
@@ -83,10 +83,10 @@
     world.fleet.apply("orders", 1, &single_slot).expect("the document with one slot applied");
     world.plains[0].set_delay(Duration::from_secs(4));
     let first = spawn_deposit(&world, "entry-north-0", "running");
-    assert!(wait_until(PATIENCE, || runs(&world, "running") == 1));
+    assert!(wait_until(TIMEOUT, || runs(&world, "running") == 1));
     let second = spawn_deposit(&world, "entry-north-1", "waiting");
     let queued = || world.fleet.status("entry-north-1").is_ok_and(|s| s.open_requests == 1);
-    assert!(wait_until(PATIENCE, queued));
+    assert!(wait_until(TIMEOUT, queued));
     world.fleet.kill("entry-north-1");
     let lost = second.join().expect("a caller");
     assert_eq!(lost.status, 0);
@@ -108,7 +108,7 @@
         let status = world.fleet.status("control-north");
         status.is_ok_and(|s| s.control.is_some_and(|control| control.keys == 1))
     };
-    assert!(wait_until(PATIENCE, claimed));
+    assert!(wait_until(TIMEOUT, claimed));
     world.fleet.kill("entry-north-0");
     assert_eq!(lost.join().expect("a caller").status, 0);
     let retried = deposit(&world, "entry-north-1", "claimed", "50");
@@ -126,7 +126,7 @@
     let mut world = start(&["north"], 3, &EngineConfig::default()).with_documents();
     world.plains[0].set_delay(Duration::from_secs(3));
     let lost = spawn_deposit(&world, "entry-north-0", "sent");
-    assert!(wait_until(PATIENCE, || runs(&world, "sent") == 1));
+    assert!(wait_until(TIMEOUT, || runs(&world, "sent") == 1));
     world.fleet.kill("entry-north-0");
     assert_eq!(lost.join().expect("a caller").status, 0);
     for _ in 0..3 {
@@ -143,7 +143,7 @@
     let (world, proxy) = start_behind_proxy(1);
     world.plains[0].set_delay(Duration::from_secs(3));
     let broken = spawn_deposit(&world, "entry-north-0", "broken");
-    assert!(wait_until(PATIENCE, || runs(&world, "broken") == 1));
+    assert!(wait_until(TIMEOUT, || runs(&world, "broken") == 1));
     proxy.reset_open();
     let answer = broken.join().expect("a caller");
     assert_eq!((answer.code, answer.outcome.as_str()), (4002, "unknown"), "{answer:?}");
@@ -166,7 +166,7 @@
     assert_eq!(runs(&world, "later"), 0);
     world.fleet.run("control-south").expect("a started control instance");
     let mut last = None;
-    let done = wait_until(PATIENCE, || {
+    let done = wait_until(TIMEOUT, || {
         let answer = deposit(&world, "entry-north-0", "later", "50");
         let is_done = answer.outcome == "done";
         last = Some(answer);
@@ -197,7 +197,7 @@
     let plan = Plan { instance: "all".to_owned(), domain: "north".to_owned(), roles };
     let mut fleet = Fleet::prepare(daemon(), &[plan], &platform, false).expect("a prepared fleet");
     fleet.run_as("all", &daemon_with_full_disk(blocks)).expect("a started instance");
-    assert!(wait_until(PATIENCE, || fleet.leader().is_some()));
+    assert!(wait_until(TIMEOUT, || fleet.leader().is_some()));
     fleet.apply("orders", 0, &orders_document()).expect("the document applied");
     fleet.wait_for_dispatchers("orders").expect("a dispatcher");
     let failed = |fleet: &Fleet| {
--- a/tests/testsuite/domains.rs
+++ b/tests/testsuite/domains.rs
@@ -4,7 +4,7 @@
 
 use kingcup_support::{engine::EngineConfig, wait_until};
 
-use crate::support::{Crowd, PATIENCE, start};
+use crate::support::{Crowd, TIMEOUT, start};
 
 // Guards against a failure domain that still receives requests three seconds after an operator has
 // taken it out under full load, against requests lost in the transition, and against a domain that
@@ -15,7 +15,7 @@
     let north = Crowd::start("north", world.fleet.entry("entry-north-0"), "alder", 3, 15);
     let south = Crowd::start("south", world.fleet.entry("entry-south-0"), "birch", 3, 15);
     let begun = || world.engines[1].record().begun.len();
-    assert!(wait_until(PATIENCE, || begun() > 5), "south never served");
+    assert!(wait_until(TIMEOUT, || begun() > 5), "south never served");
     world.fleet.set_domain("south", true).expect("the failure domain out of service");
     // Three seconds is the guaranteed limit; the load continues meanwhile.
     thread::sleep(Duration::from_secs(3));
@@ -24,7 +24,7 @@
     assert!(south.wait_for(10), "callers of the entry in south are not served by north");
     assert_eq!(begun(), before, "new requests in a failure domain that is out of service");
     world.fleet.set_domain("south", false).expect("the failure domain back in service");
-    assert!(wait_until(PATIENCE, || begun() > before + 5), "south does not serve again");
+    assert!(wait_until(TIMEOUT, || begun() > before + 5), "south does not serve again");
     for (asked, answer) in north.finish().iter().chain(&south.finish()) {
         assert!(answer.answers(asked), "{answer:?}");
     }
--- a/tests/testsuite/input.rs
+++ b/tests/testsuite/input.rs
@@ -22,7 +22,7 @@
     transport::peers::{PeerConfig, Peers},
 };
 
-use crate::support::{PATIENCE, prompt, start, tutor_document};
+use crate::support::{TIMEOUT, prompt, start, tutor_document};
 
 fn document_error(text: &str) -> String {
     Document::parse(text).expect_err("a refused document").to_string()
@@ -154,7 +154,7 @@
     impostor.send(&"entry-north-0".into(), &announcement);
     let is_counted =
         || world.fleet.metrics("entry-north-0").contains("kingcup_peer_frames_refused 1");
-    assert!(wait_until(PATIENCE, is_counted), "the frame is not counted");
+    assert!(wait_until(TIMEOUT, is_counted), "the frame is not counted");
     let asked = prompt("after", "alder", 3);
     let entry = world.fleet.entry("entry-north-0");
     assert!(Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked));
@@ -240,13 +240,13 @@
             let asked = prompt(id, "alder", 3);
             caller.prompt(entry, "tutor", &asked).answers(&asked)
         };
-        assert!(wait_until(PATIENCE, || is_served("before")));
+        assert!(wait_until(TIMEOUT, || is_served("before")));
         let failures = || world.fleet.log("entry-north-0").matches("accept-failed").count();
         let before = failures();
         let connections: Vec<_> = (0..100).filter_map(|_| TcpStream::connect(entry).ok()).collect();
-        assert!(wait_until(PATIENCE, || failures() > before), "the limit was never reached");
+        assert!(wait_until(TIMEOUT, || failures() > before), "the limit was never reached");
         drop(connections);
-        assert!(wait_until(PATIENCE, || is_served("after")), "the entry does not serve again");
+        assert!(wait_until(TIMEOUT, || is_served("after")), "the entry does not serve again");
     }
 }
 
@@ -267,7 +267,7 @@
     }
     world.fleet.signal("entry-north-0", "CONT");
     let is_served = |connection: &mut TcpStream| {
-        connection.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        connection.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
         let mut status = [0; 12];
         connection.read_exact(&mut status).is_ok() && status == *b"HTTP/1.1 404"
     };
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -20,7 +20,7 @@
 };
 
 use crate::support::{
-    Crowd, PATIENCE, World, check_answers, engine_owned_by, prompt, start, start_named,
+    Crowd, TIMEOUT, World, check_answers, engine_owned_by, prompt, start, start_named,
 };
 
 fn load(model: &str) -> SetupChange {
@@ -54,10 +54,10 @@
     assert!(crowd.wait_for(20));
     let number = world.fleet.order("engine-north", load("second")).expect("an order");
     let settled = || is_settled(&world, &entries(&world), "engine-north", number);
-    assert!(wait_until(PATIENCE, settled), "the order is not carried out");
+    assert!(wait_until(TIMEOUT, settled), "the order is not carried out");
     let begun = world.engines[0].record().begun.len();
     let works_again = || world.engines[0].record().begun.len() > begun;
-    assert!(wait_until(PATIENCE, works_again), "the changed engine gets no requests");
+    assert!(wait_until(TIMEOUT, works_again), "the changed engine gets no requests");
     let answers = crowd.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
     assert_eq!(world.engines[0].setup().model, "second");
@@ -83,23 +83,23 @@
         let world = start(&["north"], 1, &engine).with_documents();
         let instances = entries(&world);
         let first = world.fleet.order("engine-north", load("second")).expect("an order");
-        assert!(wait_until(PATIENCE, || is_settled(&world, &instances, "engine-north", first)));
+        assert!(wait_until(TIMEOUT, || is_settled(&world, &instances, "engine-north", first)));
         let second = world.fleet.order("engine-north", load("third")).expect("an order");
-        assert!(wait_until(PATIENCE, || is_settled(&world, &instances, "engine-north", second)));
+        assert!(wait_until(TIMEOUT, || is_settled(&world, &instances, "engine-north", second)));
         let status = order_directly(world.engines[0].address(), first, "second");
         assert_eq!(status, if checks_numbers { 409 } else { 202 });
         let is_right = || {
             let setup = world.engines[0].setup();
             setup.model == "third" && setup.ready
         };
-        assert!(wait_until(PATIENCE, is_right), "the late order lasts");
+        assert!(wait_until(TIMEOUT, is_right), "the late order lasts");
         let outdated = world.engines[0].record().outdated;
         assert_eq!(outdated, if checks_numbers { vec![first] } else { vec![] });
         let asked = prompt("after", "alder", 3);
         let caller = Caller::new(&token("alder"));
         let entry = world.fleet.entry("entry-north-0");
         let served = || caller.prompt(entry, "tutor", &asked).answers(&asked);
-        assert!(wait_until(PATIENCE, served));
+        assert!(wait_until(TIMEOUT, served));
     }
 }
 
@@ -116,13 +116,13 @@
         let asked = prompt("long", "alder", 400);
         Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked)
     });
-    assert!(wait_until(PATIENCE, || world.engines[0].running() == 1));
+    assert!(wait_until(TIMEOUT, || world.engines[0].running() == 1));
     let first = world.fleet.order("engine-north", load("second")).expect("an order");
     let waits = || {
         let stage = world.fleet.order_stage(std::slice::from_ref(&dispatcher), "engine-north");
         stage.is_some_and(|(number, stage)| number == first && stage == "finishing its requests")
     };
-    assert!(wait_until(PATIENCE, waits), "the order does not wait");
+    assert!(wait_until(TIMEOUT, waits), "the order does not wait");
     world.fleet.signal(&dispatcher, "STOP");
     let change = ops::fresh_change_id().expect("a change id");
     let command = Command::Order { change, upstream: "engine-north".into(), setup: load("third") };
@@ -131,10 +131,10 @@
         let setup = world.engines[0].setup();
         setup.model == "third" && setup.ready
     };
-    assert!(wait_until(PATIENCE, is_third), "the successor does not carry out the order");
+    assert!(wait_until(TIMEOUT, is_third), "the successor does not carry out the order");
     world.fleet.signal(&dispatcher, "CONT");
     let thawed = || world.fleet.status(&dispatcher).is_ok_and(|s| s.fresh && s.pools.is_empty());
-    assert!(wait_until(PATIENCE, thawed), "the thawed entry still dispatches");
+    assert!(wait_until(TIMEOUT, thawed), "the thawed entry still dispatches");
     assert!(long.join().expect("a caller"), "the long answer is cut");
     let record = world.engines[0].record();
     let numbers: Vec<u64> = record.ordered.iter().map(|(number, _)| *number).collect();
@@ -160,7 +160,7 @@
             let setup = world.engines[0].setup();
             setup.model == "second" && setup.ready
         };
-        assert!(wait_until(PATIENCE, is_second), "{owner} is frozen and holds the order up");
+        assert!(wait_until(TIMEOUT, is_second), "{owner} is frozen and holds the order up");
         world.fleet.signal(owner, "CONT");
         assert_eq!(world.engines[0].record().ordered_while_busy, 0);
     }
@@ -179,9 +179,9 @@
     assert!(crowd.wait_for(5));
     let number = world.fleet.order("engine-north", load("second")).expect("an order");
     let is_loading = || !world.engines[0].setup().ready;
-    assert!(wait_until(PATIENCE, is_loading), "the order is not given");
+    assert!(wait_until(TIMEOUT, is_loading), "the order is not given");
     world.fleet.kill(&dispatcher);
-    assert!(wait_until(PATIENCE, || is_settled(&world, &others, "engine-north", number)));
+    assert!(wait_until(TIMEOUT, || is_settled(&world, &others, "engine-north", number)));
     assert!(crowd.wait_for(10), "the engine does not work again");
     check_answers(&crowd.finish());
     let record = world.engines[0].record();
@@ -199,13 +199,13 @@
     assert!(crowd.wait_for(10));
     world.fleet.order("engine-north", SetupChange::Drained(true)).expect("an order");
     let rests = || world.engines[0].setup().drained && world.engines[0].running() == 0;
-    assert!(wait_until(PATIENCE, rests), "it is not drained");
+    assert!(wait_until(TIMEOUT, rests), "it is not drained");
     let begun = world.engines[0].record().begun.len();
     assert!(crowd.wait_for(20), "the other engine does not serve");
     assert_eq!(world.engines[0].record().begun.len(), begun);
     world.fleet.order("engine-north", SetupChange::Drained(false)).expect("an order");
     let works = || world.engines[0].record().begun.len() > begun;
-    assert!(wait_until(PATIENCE, works), "it does not work again");
+    assert!(wait_until(TIMEOUT, works), "it does not work again");
     let answers = crowd.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
 }
--- a/tests/testsuite/peers.rs
+++ b/tests/testsuite/peers.rs
@@ -8,7 +8,7 @@
 use kingcup_support::{engine::EngineConfig, wait_until};
 use kingcupgrade::core::Settings;
 
-use crate::support::{PATIENCE, start};
+use crate::support::{TIMEOUT, start};
 
 /// The number of connections that are opened and held open together.
 const CONNECTIONS: usize = 100;
@@ -21,7 +21,7 @@
     let request = "GET / HTTP/1.1\r\nHost: peer\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n\
                    Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n";
     stream.write_all(request.as_bytes()).expect("written");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     let mut answer = Vec::new();
     let mut buf = [0; 512];
     // The greeting is a frame that follows the response head.
@@ -51,7 +51,7 @@
     // Each connection has received its greeting, so what it takes has been allocated; the process
     // does not return that memory.
     let has_grown = || memory() > before;
-    assert!(wait_until(PATIENCE, has_grown), "the connections take no memory at all");
+    assert!(wait_until(TIMEOUT, has_grown), "the connections take no memory at all");
     let taken = memory() - before;
     assert!(
         taken < MAX_MEMORY * CONNECTIONS as u64,
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -12,7 +12,7 @@
 use kingcupgrade::{ops::fresh_change_id, protocol::record::Command};
 
 use crate::support::{
-    Crowd, PATIENCE, World, check_answers, engine_owned_by, prompt, start, start_named,
+    Crowd, TIMEOUT, World, check_answers, engine_owned_by, prompt, start, start_named,
 };
 
 /// An engine that never warms up, so that its cold limit holds all the time.
@@ -63,7 +63,7 @@
     let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
     assert!(crowd.wait_for(5));
     world.fleet.signal(&dispatcher, "STOP");
-    let replaced = wait_until(PATIENCE, || {
+    let replaced = wait_until(TIMEOUT, || {
         others.iter().any(|i| {
             let status = world.fleet.status(i);
             status.is_ok_and(|s| s.pools.iter().any(|p| p.service.as_str() == "tutor"))
@@ -116,7 +116,7 @@
     assert!(south.wait_for(10), "the south does not serve");
     world.fleet.cut_domain("south", false);
     let fresh = || world.fleet.status("entry-south-0").is_ok_and(|status| status.fresh);
-    assert!(wait_until(PATIENCE, fresh), "the south does not rejoin");
+    assert!(wait_until(TIMEOUT, fresh), "the south does not rejoin");
     assert!(north.wait_for(10) && south.wait_for(10));
     check_answers(&north.finish());
     check_answers(&south.finish());
@@ -174,7 +174,7 @@
     let world = start(&["north"], 2, &engine).with_documents();
     let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 8, 15);
     let warmed = || world.engines[0].is_warm() && world.engines[0].running() > 2;
-    assert!(wait_until(PATIENCE, warmed), "the engine is never given more than its cold limit");
+    assert!(wait_until(TIMEOUT, warmed), "the engine is never given more than its cold limit");
     world.engines[0].turn_cold();
     assert!(crowd.wait_for(20));
     check_answers(&crowd.finish());
@@ -195,7 +195,7 @@
     }
     assert!(crowd.wait_for(15), "nothing is served after the connections went silent");
     let replaced = || world.fleet.metrics(&others[0]).contains("kingcup_peer_connections_replaced");
-    assert!(wait_until(PATIENCE, replaced), "no connection was replaced");
+    assert!(wait_until(TIMEOUT, replaced), "no connection was replaced");
     check_answers(&crowd.finish());
     assert_spared(&world);
 }
@@ -244,7 +244,7 @@
             s.pools.iter().any(|p| p.service.as_str() == "tutor" && p.term.is_none())
         })
     };
-    assert!(wait_until(PATIENCE, alone), "no static share begins");
+    assert!(wait_until(TIMEOUT, alone), "no static share begins");
     assert!(crowd.wait_for(10), "the last entry does not serve");
     check_answers(&crowd.finish());
     assert_spared(&world);
@@ -265,7 +265,7 @@
     world.engines.push(second);
     let world = world.with_documents();
     let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 20);
-    assert!(wait_until(PATIENCE, || world.engines.iter().all(|e| e.record().begun.len() > 5)));
+    assert!(wait_until(TIMEOUT, || world.engines.iter().all(|e| e.record().begun.len() > 5)));
     let change = fresh_change_id().expect("a change id");
     let leave = Command::SetLeaving { change, upstream: "engine-north".into(), leaving: true };
     world.fleet.client().change(leave).expect("an accepted change");
@@ -292,8 +292,8 @@
         (asked, answer)
     });
     let silent = || engine.record().served.len() == 5;
-    assert!(wait_until(PATIENCE, silent), "the engine never began");
-    assert!(wait_until(PATIENCE, || engine.record().begun.len() > 1), "nobody asks again");
+    assert!(wait_until(TIMEOUT, silent), "the engine never began");
+    assert!(wait_until(TIMEOUT, || engine.record().begun.len() > 1), "nobody asks again");
     engine.go_silent_after(0);
     let (asked, answer) = caller.join().expect("a caller");
     assert!(answer.answers(&asked), "{answer:?}");
--- a/tests/testsuite/record/disks.rs
+++ b/tests/testsuite/record/disks.rs
@@ -18,7 +18,7 @@
 };
 
 use crate::support::{
-    PATIENCE, daemon, daemon_with_full_disk, orders_document, start, tutor_document,
+    TIMEOUT, daemon, daemon_with_full_disk, orders_document, start, tutor_document,
 };
 
 use super::{accepted, commit_of, controls_only, index_of, members, small_change, wait_for_leader};
@@ -38,19 +38,19 @@
     fleet.run(lost).expect("a started instance");
     let add = Command::ChangeMembers { add: true, instance: lost.as_str().into(), replica: None };
     let added = || fleet.client().change(add.clone()).is_ok();
-    assert!(wait_until(PATIENCE, added), "the new replica can't be added");
+    assert!(wait_until(TIMEOUT, added), "the new replica can't be added");
     let votes =
         || members(&fleet).iter().filter(|m| m.voter && m.id.0.as_str() == lost).count() == 2;
-    assert!(wait_until(PATIENCE, votes), "the new replica gets no vote");
+    assert!(wait_until(TIMEOUT, votes), "the new replica gets no vote");
     let old = Some(kingcupgrade::protocol::consensus::INITIAL_REPLICA);
     let remove =
         Command::ChangeMembers { add: false, instance: lost.as_str().into(), replica: old };
     let removed = || fleet.client().change(remove.clone()).is_ok();
-    assert!(wait_until(PATIENCE, removed), "the old replica can't be removed");
+    assert!(wait_until(TIMEOUT, removed), "the old replica can't be removed");
     fleet.kill(second);
     let (_, index) = accepted(&fleet, &small_change(2));
     assert!(index > before);
-    assert!(wait_until(PATIENCE, || commit_of(&fleet, lost) >= index), "the new replica lags");
+    assert!(wait_until(TIMEOUT, || commit_of(&fleet, lost) >= index), "the new replica lags");
 }
 
 // An operator writes a backup while the first control instance of the fleet file is cut off. What
@@ -67,7 +67,7 @@
         let info = ops::backup(&fleet.client(), &folder);
         info.is_ok_and(|info| info.confirmed && info.index >= index)
     };
-    assert!(wait_until(PATIENCE, newest), "the backup lacks an accepted change");
+    assert!(wait_until(TIMEOUT, newest), "the backup lacks an accepted change");
     let held = fleet.client().ask_one(&"control-0".into(), &OperatorRequest::Backup);
     let is_old = matches!(held, Ok(OperatorReply::Backup(held)) if held.index < index);
     assert!(is_old, "the instance that is cut off was to hold an old state");
@@ -90,11 +90,11 @@
     };
     let others: Vec<u64> = members(&fleet).iter().map(|m| m.id.1).collect();
     wipe(&mut fleet);
-    assert!(wait_until(PATIENCE, || fleet.client().change(add.clone()).is_ok()), "not added");
+    assert!(wait_until(TIMEOUT, || fleet.client().change(add.clone()).is_ok()), "not added");
     // Time enough to catch up, and to get a vote if that were given.
     let caught_up =
         || commit_of(&fleet, &lost) > 0 && commit_of(&fleet, &lost) >= commit_of(&fleet, &leader);
-    assert!(wait_until(PATIENCE, caught_up), "the newcomer does not catch up");
+    assert!(wait_until(TIMEOUT, caught_up), "the newcomer does not catch up");
     thread::sleep(Duration::from_millis(500));
     wipe(&mut fleet);
     accepted(&fleet, &small_change(1));
@@ -109,14 +109,14 @@
             replica: Some(member.id.1),
         };
         let removed = || fleet.client().change(remove.clone()).is_ok();
-        assert!(wait_until(PATIENCE, removed), "{} can't be removed", member.id);
+        assert!(wait_until(TIMEOUT, removed), "{} can't be removed", member.id);
     }
-    assert!(wait_until(PATIENCE, || fleet.client().change(add.clone()).is_ok()), "not added again");
+    assert!(wait_until(TIMEOUT, || fleet.client().change(add.clone()).is_ok()), "not added again");
     let is_whole = || {
         let votes = members(&fleet).iter().filter(|m| m.voter).count();
         votes == others.len() && of_lost(&fleet).len() == 1
     };
-    assert!(wait_until(PATIENCE, is_whole), "{:?}", members(&fleet));
+    assert!(wait_until(TIMEOUT, is_whole), "{:?}", members(&fleet));
 }
 
 // A control instance's disk is full. It must say so and stop taking part; what it could not write
@@ -146,7 +146,7 @@
     assert_eq!(failed(&fleet).map(|err| err.code), Some(Code::StorageFailed));
     let (_, index) = accepted(&fleet, &small_change(1));
     for control in ["control-1", "control-2"] {
-        assert!(wait_until(PATIENCE, || commit_of(&fleet, control) >= index));
+        assert!(wait_until(TIMEOUT, || commit_of(&fleet, control) >= index));
     }
     fleet.kill("control-0");
     let held = verify(&fleet.data_folder("control-0")).expect("a sound data folder");
@@ -176,7 +176,7 @@
     let (_, index) = accepted(&fleet, &small_change(9_999));
     assert!(index > 2_100, "too few changes for a snapshot: {index}");
     fleet.run(&away).expect("a started instance");
-    assert!(wait_until(PATIENCE, || commit_of(&fleet, &away) >= index), "it does not catch up");
+    assert!(wait_until(TIMEOUT, || commit_of(&fleet, &away) >= index), "it does not catch up");
     fleet.kill(&away);
     let held = verify(&fleet.data_folder(&away)).expect("a sound data folder");
     assert!(held.snapshot_index > 0, "it was not brought up by a snapshot");
@@ -205,7 +205,7 @@
         let status = world.fleet.status("entry-north-0");
         status.is_ok_and(|s| s.fresh && s.index > seen && s.revisions.get("tutor") == Some(&1))
     };
-    assert!(wait_until(PATIENCE, restored), "the restored document is not in force");
+    assert!(wait_until(TIMEOUT, restored), "the restored document is not in force");
     assert!(accepted(&world.fleet, &small_change(1)).1 > seen);
     let damaged = world.fleet.data_folder("damaged");
     let mut bytes = fs::read(&backup).expect("a backup");
--- a/tests/testsuite/record/mod.rs
+++ b/tests/testsuite/record/mod.rs
@@ -28,7 +28,7 @@
     },
 };
 
-use crate::support::{PATIENCE, daemon, start, tutor_document};
+use crate::support::{TIMEOUT, daemon, start, tutor_document};
 
 fn small_change(n: usize) -> Command {
     Command::SetLeaving {
@@ -40,7 +40,7 @@
 
 fn accepted(fleet: &Fleet, command: &Command) -> (u64, u64) {
     let mut answer = None;
-    let done = wait_until(PATIENCE, || {
+    let done = wait_until(TIMEOUT, || {
         answer = fleet.client().change(command.clone()).ok();
         answer.is_some()
     });
@@ -53,7 +53,7 @@
 
 fn wait_for_leader(fleet: &Fleet) -> String {
     let mut leader = None;
-    assert!(wait_until(PATIENCE, || {
+    assert!(wait_until(TIMEOUT, || {
         leader = fleet.leader();
         leader.is_some()
     }));
@@ -135,7 +135,7 @@
     }
     for (control, _) in world.fleet.controls() {
         let caught_up = || commit_of(&world.fleet, &control) >= last.1;
-        assert!(wait_until(PATIENCE, caught_up), "{control} lacks an accepted change");
+        assert!(wait_until(TIMEOUT, caught_up), "{control} lacks an accepted change");
     }
 }
 
@@ -158,7 +158,7 @@
     controls.iter().for_each(|(control, _)| world.fleet.run(control).expect("a started instance"));
     let all_back =
         || controls.iter().all(|(control, _)| commit_of(&world.fleet, control) >= last.1);
-    assert!(wait_until(PATIENCE, all_back), "an accepted change is lost");
+    assert!(wait_until(TIMEOUT, all_back), "an accepted change is lost");
     assert!(accepted(&world.fleet, &small_change(300)).1 > last.1);
 }
 
@@ -173,14 +173,14 @@
     let before = term(&leader);
     fleet.isolate(&cut, true);
     let stale = || fleet.status(&cut).is_ok_and(|status| !status.fresh);
-    assert!(wait_until(PATIENCE, stale), "it still confirms its state");
+    assert!(wait_until(TIMEOUT, stale), "it still confirms its state");
     let (_, index) = accepted(&fleet, &small_change(1));
     thread::sleep(Duration::from_secs(3));
     assert!(commit_of(&fleet, &cut) < index);
     fleet.isolate(&cut, false);
     let caught_up =
         || commit_of(&fleet, &cut) >= index && fleet.status(&cut).is_ok_and(|s| s.fresh);
-    assert!(wait_until(PATIENCE, caught_up), "it does not catch up");
+    assert!(wait_until(TIMEOUT, caught_up), "it does not catch up");
     assert_eq!(term(&leader), before, "its return deposed the leader");
 }
 
@@ -221,7 +221,7 @@
     assert_eq!(term(), before, "the deaf instance deposed the leader");
     fleet.link(&leader, deaf).cut(false);
     fleet.link(&others[1], deaf).cut(false);
-    assert!(wait_until(PATIENCE, || commit_of(&fleet, deaf) >= index), "it does not catch up");
+    assert!(wait_until(TIMEOUT, || commit_of(&fleet, deaf) >= index), "it does not catch up");
 }
 
 // Two operators change the same document from the same revision. One wins, the other is told of
@@ -260,7 +260,7 @@
     let change = fresh_change_id().expect("a change id");
     let apply = Command::ApplyDocument { change, service: "tutor".into(), base: 1, text };
     let (revision, index) = accepted(fleet, &apply);
-    assert!(wait_until(PATIENCE, || index_of(fleet, "entry-north-1") >= index));
+    assert!(wait_until(TIMEOUT, || index_of(fleet, "entry-north-1") >= index));
     fleet.kill("entry-north-0");
     for control in ["control-south", "control-west"] {
         fleet.link("entry-north-0", control).cut(true);
@@ -284,7 +284,7 @@
         let status = fleet.status("entry-north-0");
         status.is_ok_and(|status| status.revisions.get("tutor") == Some(&revision))
     };
-    assert!(wait_until(PATIENCE, newest), "it stays behind its neighbour");
+    assert!(wait_until(TIMEOUT, newest), "it stays behind its neighbour");
     thread::sleep(Duration::from_secs(2));
     assert!(newest(), "it went back");
     let status = fleet.status("entry-north-0").expect("a status");
@@ -307,7 +307,7 @@
         let status = fleet.status("entry-north-0");
         status.is_ok_and(|status| status.revisions.get("tutor") == Some(&wanted))
     };
-    assert!(wait_until(PATIENCE, || knows(revision - 1)), "it hears nothing");
+    assert!(wait_until(TIMEOUT, || knows(revision - 1)), "it hears nothing");
     fleet.link("entry-north-0", "entry-north-1").set_down(false);
-    assert!(wait_until(PATIENCE, || knows(revision)), "it stays behind its neighbour");
+    assert!(wait_until(TIMEOUT, || knows(revision)), "it stays behind its neighbour");
 }
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -26,7 +26,7 @@
 
 /// Upper bound on each wait in a test, far above the expected time, so that a test does not fail
 /// because the host is slow.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Returns the command that starts the daemon under test.
 pub(crate) fn daemon() -> Program {
@@ -180,7 +180,7 @@
     /// Waits for `more` complete answers; returns false if they do not arrive in time.
     pub(crate) fn wait_for(&self, more: usize) -> bool {
         let target = self.done() + more;
-        wait_until(PATIENCE, || self.done() >= target)
+        wait_until(TIMEOUT, || self.done() >= target)
     }
 
     /// Lets the requests in flight finish, and returns all prompts with their answers.
