--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -18,18 +18,18 @@
 #[test]
 fn an_answer_reaches_its_caller_event_by_event() {
     let engine = EngineConfig { token_time: Duration::from_millis(60), ..EngineConfig::default() };
-    let world = start(&["north"], 1, &engine).with_documents();
+    let harness = start(&["north"], 1, &engine).with_documents();
     let asked = prompt("stream", "alder", 10);
     let body = serde_json::to_string(&asked).expect("plain data");
     let mut first = None;
     let caller = Caller::new(&token("alder"));
-    let entry = world.fleet.entry("entry-north-0");
+    let entry = harness.fleet.entry("entry-north-0");
     let answer = caller.post_with(entry, "/tutor/generate", &body, None, |_| {
         first.get_or_insert_with(Instant::now);
         true
     });
     assert!(answer.answers(&asked), "{answer:?}");
-    let last_written = world.engines[0].record().served.last().expect("events").at;
+    let last_written = harness.engines[0].record().served.last().expect("events").at;
     assert!(first.expect("an event") < last_written);
 }
 
@@ -37,8 +37,8 @@
 // same engine at the same time, one caller would get the other's answer.
 #[test]
 fn two_callers_at_once_each_get_their_own_answer() {
-    let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
-    let entry = world.fleet.entry("entry-north-0");
+    let harness = start(&["north"], 1, &EngineConfig::default()).with_documents();
+    let entry = harness.fleet.entry("entry-north-0");
     let ask = |organisation: &'static str| {
         thread::spawn(move || {
             let asked = prompt(&format!("of-{organisation}"), organisation, 30);
@@ -57,16 +57,16 @@
 // requests wait for the slot.
 #[test]
 fn a_caller_that_hangs_up_frees_the_slot() {
-    let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
-    let entry = world.fleet.entry("entry-north-0");
+    let harness = start(&["north"], 1, &EngineConfig::default()).with_documents();
+    let entry = harness.fleet.entry("entry-north-0");
     let body = serde_json::to_string(&prompt("long", "alder", 100_000)).expect("plain data");
     let caller = Caller::new(&token("alder"));
     let answer =
         caller.post_with(entry, "/tutor/generate", &body, None, |line| !line.contains("long 5"));
     assert!(!answer.is_whole);
-    assert!(wait_until(TIMEOUT, || world.engines[0].running() == 0), "the engine still runs it");
+    assert!(wait_until(TIMEOUT, || harness.engines[0].running() == 0), "the engine still runs it");
     let is_released = || {
-        let status = world.fleet.status("entry-north-0").expect("a status");
+        let status = harness.fleet.status("entry-north-0").expect("a status");
         status.pools.iter().flat_map(|pool| pool.upstreams.values()).all(|(used, _)| *used == 0)
     };
     assert!(wait_until(TIMEOUT, is_released), "the dispatcher still counts it");
@@ -78,19 +78,19 @@
 #[test]
 fn a_caller_that_hangs_up_while_it_waits_is_forgotten() {
     let engine = EngineConfig { cold_slots: 1, warm_slots: 1, ..EngineConfig::default() };
-    let world = start(&["north"], 1, &engine);
+    let harness = start(&["north"], 1, &engine);
     let one_slot = tutor_document().replace("cold: 2, warm: 4", "cold: 1, warm: 1");
-    world.fleet.apply("tutor", 0, &one_slot).expect("the document applied");
-    world.fleet.wait_for_dispatchers("tutor").expect("a dispatcher");
-    let entry = world.fleet.entry("entry-north-0");
-    let open = || world.fleet.metric("entry-north-0", "kingcup_open_requests");
+    harness.fleet.apply("tutor", 0, &one_slot).expect("the document applied");
+    harness.fleet.wait_for_dispatchers("tutor").expect("a dispatcher");
+    let entry = harness.fleet.entry("entry-north-0");
+    let open = || harness.fleet.metric("entry-north-0", "kingcup_open_requests");
     let (end, ended) = mpsc::channel::<()>();
     let first = thread::spawn(move || {
         let body = serde_json::to_string(&prompt("first", "alder", 100_000)).expect("plain data");
         let keep_reading = |_: &str| matches!(ended.try_recv(), Err(mpsc::TryRecvError::Empty));
         Caller::new(&token("alder")).post_with(entry, "/tutor/generate", &body, None, keep_reading)
     });
-    assert!(wait_until(TIMEOUT, || world.engines[0].running() == 1), "the first does not run");
+    assert!(wait_until(TIMEOUT, || harness.engines[0].running() == 1), "the first does not run");
     let body = serde_json::to_string(&prompt("second", "alder", 3)).expect("plain data");
     let head = format!(
         "POST /tutor/generate HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer {}\r\n\
@@ -107,7 +107,7 @@
     first.join().expect("the first caller");
     let asked = prompt("third", "alder", 3);
     assert!(Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked));
-    let begun = world.engines[0].record().begun;
+    let begun = harness.engines[0].record().begun;
     assert!(!begun.iter().any(|(id, _)| id == "second"), "{begun:?}");
 }
 
@@ -116,9 +116,9 @@
 // itself.
 #[test]
 fn a_terminated_entry_cuts_off_no_answer() {
-    let world = start(&["north"], 2, &EngineConfig::default()).with_documents();
-    let mut world = world;
-    let entry = world.fleet.entry("entry-north-0");
+    let harness = start(&["north"], 2, &EngineConfig::default()).with_documents();
+    let mut harness = harness;
+    let entry = harness.fleet.entry("entry-north-0");
     let (tx, rx) = mpsc::channel();
     let caller = thread::spawn(move || {
         let asked = prompt("kept", "alder", 150);
@@ -131,7 +131,7 @@
         (asked, answer)
     });
     rx.recv_timeout(TIMEOUT).expect("a first event");
-    world.fleet.signal("entry-north-0", "TERM");
+    harness.fleet.signal("entry-north-0", "TERM");
     let late = prompt("late", "alder", 1);
     let refused = wait_until(TIMEOUT, || {
         let answer = Caller::new(&token("alder")).prompt(entry, "tutor", &late);
@@ -140,5 +140,5 @@
     assert!(refused, "a late request is not refused");
     let (asked, answer) = caller.join().expect("a caller");
     assert!(answer.answers(&asked), "{answer:?}");
-    assert!(world.fleet.wait_for_end("entry-north-0", TIMEOUT), "the entry does not exit");
+    assert!(harness.fleet.wait_for_end("entry-north-0", TIMEOUT), "the entry does not exit");
 }
--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -14,33 +14,33 @@
 };
 use kingcupgrade::core::settings::Role;
 
-use crate::support::{TIMEOUT, World, daemon, daemon_with_full_disk, orders_document, start};
+use crate::support::{Harness, TIMEOUT, daemon, daemon_with_full_disk, orders_document, start};
 
-fn deposit(world: &World, entry: &str, key: &str, body: &str) -> Answer {
-    let address = world.fleet.entry(entry);
+fn deposit(harness: &Harness, entry: &str, key: &str, body: &str) -> Answer {
+    let address = harness.fleet.entry(entry);
     Caller::new(&token("alder")).post(address, "/orders/deposits", body, Some(key))
 }
 
-fn runs(world: &World, key: &str) -> u32 {
-    world.plains.iter().map(|plain| plain.runs_of(key)).sum()
+fn runs(harness: &Harness, key: &str) -> u32 {
+    harness.plains.iter().map(|plain| plain.runs_of(key)).sum()
 }
 
 /// Starts a fleet whose plain service is reachable only through a fault-injecting proxy.
-fn start_behind_proxy(entries: usize) -> (World, Proxy) {
-    let world = start(&["north"], entries, &EngineConfig::default());
-    let proxy = Proxy::start(world.plains[0].address());
-    let plain = Backend::Plain(world.plains[0].clone());
-    world.platform.add("orders-behind", "orders", "north", proxy.address(), plain);
-    world.platform.leave("orders-north");
-    let world = world.with_documents();
+fn start_behind_proxy(entries: usize) -> (Harness, Proxy) {
+    let harness = start(&["north"], entries, &EngineConfig::default());
+    let proxy = Proxy::start(harness.plains[0].address());
+    let plain = Backend::Plain(harness.plains[0].clone());
+    harness.platform.add("orders-behind", "orders", "north", proxy.address(), plain);
+    harness.platform.leave("orders-north");
+    let harness = harness.with_documents();
     // Until the platform's list shows the upstream at its direct address as leaving.
     thread::sleep(Duration::from_secs(1));
-    (world, proxy)
+    (harness, proxy)
 }
 
 /// Sends a deposit from a background thread, so that its entry can be killed in the meantime.
-fn spawn_deposit(world: &World, entry: &str, key: &'static str) -> thread::JoinHandle<Answer> {
-    let address = world.fleet.entry(entry);
+fn spawn_deposit(harness: &Harness, entry: &str, key: &'static str) -> thread::JoinHandle<Answer> {
+    let address = harness.fleet.entry(entry);
     thread::spawn(move || {
         Caller::new(&token("alder")).post(address, "/orders/deposits", "50", Some(key))
     })
@@ -51,24 +51,24 @@
 // record. A different amount under the same key is refused, and so is a deposit without a key.
 #[test]
 fn a_repeated_deposit_gets_the_first_answer() {
-    let world = start(&["north"], 3, &EngineConfig::default()).with_documents();
-    let first = deposit(&world, "entry-north-0", "k1", "50");
-    let mut second = deposit(&world, "entry-north-1", "k1", "50");
+    let harness = start(&["north"], 3, &EngineConfig::default()).with_documents();
+    let first = deposit(&harness, "entry-north-0", "k1", "50");
+    let mut second = deposit(&harness, "entry-north-1", "k1", "50");
     wait_until(TIMEOUT, || {
         let is_recorded = second.code != 2008;
         if !is_recorded {
-            second = deposit(&world, "entry-north-1", "k1", "50");
+            second = deposit(&harness, "entry-north-1", "k1", "50");
         }
         is_recorded
     });
-    let other = deposit(&world, "entry-north-1", "k1", "60");
-    let address = world.fleet.entry("entry-north-0");
+    let other = deposit(&harness, "entry-north-1", "k1", "60");
+    let address = harness.fleet.entry("entry-north-0");
     let without = Caller::new(&token("alder")).post(address, "/orders/deposits", "50", None);
     assert_eq!((first.code, first.outcome.as_str()), (1000, "done"));
     assert_eq!((second.code, second.outcome.as_str()), (1001, "done"));
     assert_eq!(first.body, second.body);
     assert_eq!((other.code, without.code), (2007, 2006));
-    assert_eq!(runs(&world, "k1"), 1);
+    assert_eq!(runs(&harness, "k1"), 1);
 }
 
 // Guards against a deposit that can't be retried after its entry crashed while the deposit was
@@ -76,24 +76,24 @@
 // entry runs it, once.
 #[test]
 fn a_deposit_lost_before_its_claim_runs_on_the_retry() {
-    let mut world = start(&["north"], 3, &EngineConfig::default()).with_documents();
+    let mut harness = start(&["north"], 3, &EngineConfig::default()).with_documents();
     let rest = "never_repeat:\n  - {method: POST, path: /deposits}\n\
                 slots: {cold: 1, warm: 1}\nlimits: {deadline_ms: 20000, silence_ms: 9000}\n";
     let single_slot = document("orders", "plain-service", &[("alder", 1)], rest);
-    world.fleet.apply("orders", 1, &single_slot).expect("the document with one slot applied");
-    world.plains[0].set_delay(Duration::from_secs(4));
-    let first = spawn_deposit(&world, "entry-north-0", "running");
-    assert!(wait_until(TIMEOUT, || runs(&world, "running") == 1));
-    let second = spawn_deposit(&world, "entry-north-1", "waiting");
-    let queued = || world.fleet.status("entry-north-1").is_ok_and(|s| s.open_requests == 1);
+    harness.fleet.apply("orders", 1, &single_slot).expect("the document with one slot applied");
+    harness.plains[0].set_delay(Duration::from_secs(4));
+    let first = spawn_deposit(&harness, "entry-north-0", "running");
+    assert!(wait_until(TIMEOUT, || runs(&harness, "running") == 1));
+    let second = spawn_deposit(&harness, "entry-north-1", "waiting");
+    let queued = || harness.fleet.status("entry-north-1").is_ok_and(|s| s.open_requests == 1);
     assert!(wait_until(TIMEOUT, queued));
-    world.fleet.kill("entry-north-1");
+    harness.fleet.kill("entry-north-1");
     let lost = second.join().expect("a caller");
     assert_eq!(lost.status, 0);
     assert_eq!(first.join().expect("a caller").outcome, "done");
-    let retried = deposit(&world, "entry-north-0", "waiting", "50");
+    let retried = deposit(&harness, "entry-north-0", "waiting", "50");
     assert_eq!(retried.outcome, "done", "{retried:?}");
-    assert_eq!((runs(&world, "running"), runs(&world, "waiting")), (1, 1));
+    assert_eq!((runs(&harness, "running"), runs(&harness, "waiting")), (1, 1));
 }
 
 // Guards against a wrong outcome after an entry crashed between claiming a key and the arrival of
@@ -101,55 +101,55 @@
 // answered `unknown`, never `not-run`, and does not run the request.
 #[test]
 fn a_deposit_lost_after_its_claim_is_not_run_again() {
-    let (mut world, proxy) = start_behind_proxy(3);
+    let (mut harness, proxy) = start_behind_proxy(3);
     proxy.cut(true);
-    let lost = spawn_deposit(&world, "entry-north-0", "claimed");
+    let lost = spawn_deposit(&harness, "entry-north-0", "claimed");
     let claimed = || {
-        let status = world.fleet.status("control-north");
+        let status = harness.fleet.status("control-north");
         status.is_ok_and(|s| s.control.is_some_and(|control| control.keys == 1))
     };
     assert!(wait_until(TIMEOUT, claimed));
-    world.fleet.kill("entry-north-0");
+    harness.fleet.kill("entry-north-0");
     assert_eq!(lost.join().expect("a caller").status, 0);
-    let retried = deposit(&world, "entry-north-1", "claimed", "50");
+    let retried = deposit(&harness, "entry-north-1", "claimed", "50");
     assert_eq!(retried.outcome, "unknown", "{retried:?}");
     assert_eq!(retried.code, 2008, "{retried:?}");
     proxy.reset_open();
     proxy.cut(false);
-    assert!(runs(&world, "claimed") <= 1);
+    assert!(runs(&harness, "claimed") <= 1);
 }
 
 // Guards against a deposit charged twice because its entry crashed after the service had begun to
 // process it: a retry through another entry must not run it again, and is answered `unknown`.
 #[test]
 fn a_deposit_lost_after_it_was_sent_runs_once() {
-    let mut world = start(&["north"], 3, &EngineConfig::default()).with_documents();
-    world.plains[0].set_delay(Duration::from_secs(3));
-    let lost = spawn_deposit(&world, "entry-north-0", "sent");
-    assert!(wait_until(TIMEOUT, || runs(&world, "sent") == 1));
-    world.fleet.kill("entry-north-0");
+    let mut harness = start(&["north"], 3, &EngineConfig::default()).with_documents();
+    harness.plains[0].set_delay(Duration::from_secs(3));
+    let lost = spawn_deposit(&harness, "entry-north-0", "sent");
+    assert!(wait_until(TIMEOUT, || runs(&harness, "sent") == 1));
+    harness.fleet.kill("entry-north-0");
     assert_eq!(lost.join().expect("a caller").status, 0);
     for _ in 0..3 {
-        let retried = deposit(&world, "entry-north-1", "sent", "50");
+        let retried = deposit(&harness, "entry-north-1", "sent", "50");
         assert_eq!(retried.outcome, "unknown", "{retried:?}");
     }
-    assert_eq!(runs(&world, "sent"), 1);
+    assert_eq!(runs(&harness, "sent"), 1);
 }
 
 // Guards against an automatic retry of a deposit whose connection broke after the service had run
 // it. The entry can't tell whether it ran: it answers `unknown` and does not retry.
 #[test]
 fn a_deposit_whose_answer_breaks_off_is_unknown_and_not_retried() {
-    let (world, proxy) = start_behind_proxy(1);
-    world.plains[0].set_delay(Duration::from_secs(3));
-    let broken = spawn_deposit(&world, "entry-north-0", "broken");
-    assert!(wait_until(TIMEOUT, || runs(&world, "broken") == 1));
+    let (harness, proxy) = start_behind_proxy(1);
+    harness.plains[0].set_delay(Duration::from_secs(3));
+    let broken = spawn_deposit(&harness, "entry-north-0", "broken");
+    assert!(wait_until(TIMEOUT, || runs(&harness, "broken") == 1));
     proxy.reset_open();
     let answer = broken.join().expect("a caller");
     assert_eq!((answer.code, answer.outcome.as_str()), (4002, "unknown"), "{answer:?}");
-    let retried = deposit(&world, "entry-north-0", "broken", "50");
+    let retried = deposit(&harness, "entry-north-0", "broken", "50");
     assert_eq!((retried.code, retried.outcome.as_str()), (2009, "unknown"), "{retried:?}");
-    assert_eq!(runs(&world, "broken"), 1);
+    assert_eq!(runs(&harness, "broken"), 1);
 }
 
 // Guards against a deposit that runs without a claim, or is lost for good, while two of three
@@ -157,23 +157,23 @@
 // the outcome `not-run`, and runs under the same key once the quorum is restored.
 #[test]
 fn without_a_quorum_a_deposit_is_refused_as_not_run() {
-    let mut world =
+    let mut harness =
         start(&["north", "south", "west"], 1, &EngineConfig::default()).with_documents();
-    world.fleet.kill("control-south");
-    world.fleet.kill("control-west");
-    let refused = deposit(&world, "entry-north-0", "later", "50");
+    harness.fleet.kill("control-south");
+    harness.fleet.kill("control-west");
+    let refused = deposit(&harness, "entry-north-0", "later", "50");
     assert_eq!((refused.code, refused.outcome.as_str()), (3005, "not-run"), "{refused:?}");
-    assert_eq!(runs(&world, "later"), 0);
-    world.fleet.run("control-south").expect("a started control instance");
+    assert_eq!(runs(&harness, "later"), 0);
+    harness.fleet.run("control-south").expect("a started control instance");
     let mut last = None;
     let done = wait_until(TIMEOUT, || {
-        let answer = deposit(&world, "entry-north-0", "later", "50");
+        let answer = deposit(&harness, "entry-north-0", "later", "50");
         let is_done = answer.outcome == "done";
         last = Some(answer);
         is_done
     });
     assert!(done, "{last:?}");
-    assert_eq!(runs(&world, "later"), 1);
+    assert_eq!(runs(&harness, "later"), 1);
 }
 
 // Guards against a deposit that is sent although its claim could not be written: after a restart
--- a/tests/testsuite/domains.rs
+++ b/tests/testsuite/domains.rs
@@ -11,22 +11,22 @@
 // does not serve again by itself once it is back.
 #[test]
 fn a_failure_domain_out_gets_nothing_new_and_serves_again_when_it_is_back() {
-    let world = start(&["north", "south"], 2, &EngineConfig::default()).with_documents();
-    let north = Crowd::start("north", world.fleet.entry("entry-north-0"), "alder", 3, 15);
-    let south = Crowd::start("south", world.fleet.entry("entry-south-0"), "birch", 3, 15);
-    let begun = || world.engines[1].record().begun.len();
+    let harness = start(&["north", "south"], 2, &EngineConfig::default()).with_documents();
+    let north = Crowd::start("north", harness.fleet.entry("entry-north-0"), "alder", 3, 15);
+    let south = Crowd::start("south", harness.fleet.entry("entry-south-0"), "birch", 3, 15);
+    let begun = || harness.engines[1].record().begun.len();
     assert!(wait_until(TIMEOUT, || begun() > 5), "south never served");
-    world.fleet.set_domain("south", true).expect("the failure domain out of service");
+    harness.fleet.set_domain("south", true).expect("the failure domain out of service");
     // Three seconds is the guaranteed limit; the load continues meanwhile.
     thread::sleep(Duration::from_secs(3));
     let before = begun();
     assert!(north.wait_for(10), "callers of the entry in north are not served");
     assert!(south.wait_for(10), "callers of the entry in south are not served by north");
     assert_eq!(begun(), before, "new requests in a failure domain that is out of service");
-    world.fleet.set_domain("south", false).expect("the failure domain back in service");
+    harness.fleet.set_domain("south", false).expect("the failure domain back in service");
     assert!(wait_until(TIMEOUT, || begun() > before + 5), "south does not serve again");
     for (asked, answer) in north.finish().iter().chain(&south.finish()) {
         assert!(answer.answers(asked), "{answer:?}");
     }
-    assert!(world.engines.iter().all(|engine| engine.record().falls == 0));
+    assert!(harness.engines.iter().all(|engine| engine.record().falls == 0));
 }
--- a/tests/testsuite/input.rs
+++ b/tests/testsuite/input.rs
@@ -105,8 +105,8 @@
 // the entry: it must serve the next valid request.
 #[test]
 fn wrong_requests_are_refused_with_numbers() {
-    let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
-    let entry = world.fleet.entry("entry-north-0");
+    let harness = start(&["north"], 1, &EngineConfig::default()).with_documents();
+    let entry = harness.fleet.entry("entry-north-0");
     let caller = Caller::new(&token("alder"));
     let unauthorized = Caller::new("no such token");
     let large = "x".repeat(2 << 20);
@@ -136,9 +136,9 @@
 // and counted so that the attempt shows in the metrics.
 #[test]
 fn a_peer_without_the_fleet_key_is_dropped_and_counted() {
-    let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
+    let harness = start(&["north"], 1, &EngineConfig::default()).with_documents();
     let text =
-        std::fs::read_to_string(world.fleet.settings_path("entry-north-0")).expect("settings");
+        std::fs::read_to_string(harness.fleet.settings_path("entry-north-0")).expect("settings");
     let mut settings: Settings = Settings::parse(&text).expect("valid settings");
     let target = settings.own().address;
     for peer in &mut settings.peers {
@@ -153,10 +153,10 @@
     let announcement = Message::Lease(LeaseMessage::Announce { claims: Vec::new() });
     impostor.send(&"entry-north-0".into(), &announcement);
     let is_counted =
-        || world.fleet.metrics("entry-north-0").contains("kingcup_peer_frames_refused 1");
+        || harness.fleet.metrics("entry-north-0").contains("kingcup_peer_frames_refused 1");
     assert!(wait_until(TIMEOUT, is_counted), "the frame is not counted");
     let asked = prompt("after", "alder", 3);
-    let entry = world.fleet.entry("entry-north-0");
+    let entry = harness.fleet.entry("entry-north-0");
     assert!(Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked));
 }
 
@@ -177,8 +177,8 @@
 // exit code: operators have no other interface.
 #[test]
 fn the_operators_tool_applies_refuses_and_reports() {
-    let world = start(&["north"], 1, &EngineConfig::default());
-    let fleet = world.fleet.fleet_file().expect("a fleet file");
+    let harness = start(&["north"], 1, &EngineConfig::default());
+    let fleet = harness.fleet.fleet_file().expect("a fleet file");
     let document = fleet.with_file_name("tutor-document.yaml");
     std::fs::write(&document, tutor_document()).expect("a written document");
     let path = document.to_str().expect("a UTF-8 path");
@@ -216,7 +216,7 @@
     let (code, text) = kingcup(&fleet, &["verify", data.to_str().expect("a UTF-8 path")]);
     assert_eq!(code, Some(0), "{text}");
     // The control instance still runs after all steps.
-    let is_running = || world.fleet.status("control-north").is_ok();
+    let is_running = || harness.fleet.status("control-north").is_ok();
     assert!(wait_until(Duration::from_secs(5), is_running));
 }
 
@@ -226,22 +226,22 @@
 // runs with both an even and an odd limit.
 #[test]
 fn an_entry_out_of_file_descriptors_serves_again() {
-    let mut world = start(&["north"], 1, &EngineConfig::default()).with_documents();
+    let mut harness = start(&["north"], 1, &EngineConfig::default()).with_documents();
     let caller = Caller::new(&token("alder"));
     for limit in [64, 65] {
-        world.fleet.kill("entry-north-0");
+        harness.fleet.kill("entry-north-0");
         let daemon = env!("CARGO_BIN_EXE_kingcupd");
         let limited = format!("ulimit -n {limit}; exec {daemon} \"$@\"");
         let run = vec!["-c".to_owned(), limited, "sh".to_owned()];
         let program = Program { path: "/bin/sh".into(), run, init: Vec::new() };
-        world.fleet.run_as("entry-north-0", &program).expect("a started entry");
-        let entry = world.fleet.entry("entry-north-0");
+        harness.fleet.run_as("entry-north-0", &program).expect("a started entry");
+        let entry = harness.fleet.entry("entry-north-0");
         let is_served = |id: &str| {
             let asked = prompt(id, "alder", 3);
             caller.prompt(entry, "tutor", &asked).answers(&asked)
         };
         assert!(wait_until(TIMEOUT, || is_served("before")));
-        let failures = || world.fleet.log("entry-north-0").matches("accept-failed").count();
+        let failures = || harness.fleet.log("entry-north-0").matches("accept-failed").count();
         let before = failures();
         let connections: Vec<_> = (0..100).filter_map(|_| TcpStream::connect(entry).ok()).collect();
         assert!(wait_until(TIMEOUT, || failures() > before), "the limit was never reached");
@@ -255,17 +255,17 @@
 // connection closes.
 #[test]
 fn connections_opened_at_once_and_held_are_all_served() {
-    let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
-    let entry = world.fleet.entry("entry-north-0");
+    let harness = start(&["north"], 1, &EngineConfig::default()).with_documents();
+    let entry = harness.fleet.entry("entry-north-0");
     // The entry is suspended, so that it finds all connections pending at once when it resumes.
-    world.fleet.signal("entry-north-0", "STOP");
+    harness.fleet.signal("entry-north-0", "STOP");
     let mut connections: Vec<_> =
         (0..60).map(|_| TcpStream::connect(entry).expect("a connection")).collect();
     for connection in &mut connections {
         let request = b"GET /nothing HTTP/1.1\r\nHost: entry\r\n\r\n";
         connection.write_all(request).expect("written");
     }
-    world.fleet.signal("entry-north-0", "CONT");
+    harness.fleet.signal("entry-north-0", "CONT");
     let is_served = |connection: &mut TcpStream| {
         connection.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
         let mut status = [0; 12];
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -20,24 +20,24 @@
 };
 
 use crate::support::{
-    Crowd, TIMEOUT, World, check_answers, engine_owned_by, prompt, start, start_named,
+    Crowd, Harness, TIMEOUT, check_answers, engine_owned_by, prompt, start, start_named,
 };
 
 fn load(model: &str) -> SetupChange {
     SetupChange::Load(model.to_owned())
 }
 
-fn entries(world: &World) -> Vec<String> {
+fn entries(world: &Harness) -> Vec<String> {
     world.fleet.entries().into_iter().map(|(instance, _)| instance).collect()
 }
 
-fn is_settled(world: &World, instances: &[String], upstream: &str, number: u64) -> bool {
+fn is_settled(world: &Harness, instances: &[String], upstream: &str, number: u64) -> bool {
     let stage = world.fleet.order_stage(instances, upstream);
     stage.is_some_and(|(known, stage)| known == number && stage == "as ordered")
 }
 
 /// Adds another engine to the pool.
-fn add_engine(world: &World) -> Engine {
+fn add_engine(world: &Harness) -> Engine {
     let other = Engine::start(EngineConfig::default());
     let backend = Backend::Engine(other.clone());
     world.platform.add("engine-other", "tutor", "north", other.address(), backend);
--- a/tests/testsuite/peers.rs
+++ b/tests/testsuite/peers.rs
@@ -41,11 +41,11 @@
 /// one has a buffer far larger than any message.
 #[test]
 fn a_connection_to_another_instance_takes_little_memory() {
-    let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
-    let path = world.fleet.settings_path("entry-north-0");
+    let harness = start(&["north"], 1, &EngineConfig::default()).with_documents();
+    let path = harness.fleet.settings_path("entry-north-0");
     let text = std::fs::read_to_string(path).expect("settings");
     let address = Settings::parse(&text).expect("valid settings").own().address;
-    let memory = || world.fleet.usage("entry-north-0").expect("a running entry").memory;
+    let memory = || harness.fleet.usage("entry-north-0").expect("a running entry").memory;
     let before = memory();
     let connections: Vec<TcpStream> = (0..CONNECTIONS).map(|_| connect(address)).collect();
     // Each connection has received its greeting, so what it takes has been allocated; the process
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -12,7 +12,7 @@
 use kingcupgrade::{ops::fresh_change_id, protocol::record::Command};
 
 use crate::support::{
-    Crowd, TIMEOUT, World, check_answers, engine_owned_by, prompt, start, start_named,
+    Crowd, Harness, TIMEOUT, check_answers, engine_owned_by, prompt, start, start_named,
 };
 
 /// An engine that never warms up, so that its cold limit holds all the time.
@@ -23,7 +23,7 @@
 /// Longer than it takes to lose and to win a lease.
 const TAKE_OVER: Duration = Duration::from_secs(4);
 
-fn assert_spared(world: &World) {
+fn assert_spared(world: &Harness) {
     for engine in &world.engines {
         let record = engine.record();
         assert_eq!(record.falls, 0, "a cold engine fell over");
@@ -32,7 +32,7 @@
 }
 
 /// Returns the dispatching entry and the others of a failure domain with three entries.
-fn split(world: &World, domain: &str) -> (String, Vec<String>) {
+fn split(world: &Harness, domain: &str) -> (String, Vec<String>) {
     let dispatcher = world.fleet.dispatcher_of("tutor", domain).expect("a dispatcher");
     let entries = world.fleet.entries().into_iter().map(|(instance, _)| instance);
     let others = entries.filter(|i| *i != dispatcher && i.contains(domain)).collect();
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -65,7 +65,7 @@
 
 /// A running fleet with a simulated platform, and an engine and a plain service in each failure
 /// domain.
-pub(crate) struct World {
+pub(crate) struct Harness {
     pub(crate) platform: Platform,
     pub(crate) engines: Vec<Engine>,
     pub(crate) plains: Vec<Plain>,
@@ -73,7 +73,7 @@
 }
 
 /// Starts a harness with `entries` entries and one control instance in each failure domain.
-pub(crate) fn start(domains: &[&str], entries: usize, engine: &EngineConfig) -> World {
+pub(crate) fn start(domains: &[&str], entries: usize, engine: &EngineConfig) -> Harness {
     start_named(domains, entries, engine, |domain| format!("engine-{domain}"))
 }
 
@@ -92,7 +92,7 @@
     entries: usize,
     engine: &EngineConfig,
     engine_name: impl Fn(&str) -> String,
-) -> World {
+) -> Harness {
     let platform = Platform::start(Duration::from_millis(200));
     let (mut engines, mut plains, mut plans) = (Vec::new(), Vec::new(), Vec::new());
     for domain in domains {
@@ -116,12 +116,12 @@
         plans.push(Plan::control(&format!("control-{domain}"), domain));
     }
     let fleet = Fleet::start(daemon(), &plans, &platform, false).expect("a running fleet");
-    World { platform, engines, plains, fleet }
+    Harness { platform, engines, plains, fleet }
 }
 
-impl World {
+impl Harness {
     /// Applies both documents and waits until each service has a dispatcher.
-    pub(crate) fn with_documents(self) -> World {
+    pub(crate) fn with_documents(self) -> Harness {
         self.fleet.apply("tutor", 0, &tutor_document()).expect("the tutor document applied");
         self.fleet.apply("orders", 0, &orders_document()).expect("the orders document applied");
         self.fleet.wait_for_dispatchers("tutor").expect("a dispatcher for tutor");
