--- a/tests/testsuite/domains.rs
+++ b/tests/testsuite/domains.rs
@@ -4,7 +4,7 @@
 
 use kingcup_support::{engine::EngineConfig, wait_until};
 
-use crate::support::{Crowd, TIMEOUT, start};
+use crate::support::{LoadGenerator, TIMEOUT, start};
 
 // Guards against a failure domain that still receives requests three seconds after an operator has
 // taken it out under full load, against requests lost in the transition, and against a domain that
@@ -12,8 +12,8 @@
 #[test]
 fn a_failure_domain_out_gets_nothing_new_and_serves_again_when_it_is_back() {
     let harness = start(&["north", "south"], 2, &EngineConfig::default()).with_documents();
-    let north = Crowd::start("north", harness.fleet.entry("entry-north-0"), "alder", 3, 15);
-    let south = Crowd::start("south", harness.fleet.entry("entry-south-0"), "birch", 3, 15);
+    let north = LoadGenerator::start("north", harness.fleet.entry("entry-north-0"), "alder", 3, 15);
+    let south = LoadGenerator::start("south", harness.fleet.entry("entry-south-0"), "birch", 3, 15);
     let begun = || harness.engines[1].record().begun.len();
     assert!(wait_until(TIMEOUT, || begun() > 5), "south never served");
     harness.fleet.set_domain("south", true).expect("the failure domain out of service");
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -20,7 +20,7 @@
 };
 
 use crate::support::{
-    Crowd, Harness, TIMEOUT, check_answers, engine_owned_by, prompt, start, start_named,
+    Harness, LoadGenerator, TIMEOUT, check_answers, engine_owned_by, prompt, start, start_named,
 };
 
 fn load(model: &str) -> SetupChange {
@@ -50,7 +50,7 @@
 fn a_model_is_loaded_under_load_at_nobodys_expense() {
     let world = start(&["north"], 2, &EngineConfig::default()).with_documents();
     let other = add_engine(&world);
-    let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 10);
+    let crowd = LoadGenerator::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 10);
     assert!(crowd.wait_for(20));
     let number = world.fleet.order("engine-north", load("second")).expect("an order");
     let settled = || is_settled(&world, &entries(&world), "engine-north", number);
@@ -175,7 +175,7 @@
     let mut world = start(&["north"], 3, &engine).with_documents();
     let dispatcher = world.fleet.dispatcher_of("tutor", "north").expect("a dispatcher");
     let others: Vec<String> = entries(&world).into_iter().filter(|i| *i != dispatcher).collect();
-    let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
+    let crowd = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
     assert!(crowd.wait_for(5));
     let number = world.fleet.order("engine-north", load("second")).expect("an order");
     let is_loading = || !world.engines[0].setup().ready;
@@ -195,7 +195,7 @@
 fn a_drained_engine_rests_until_it_is_ordered_back() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
     add_engine(&world);
-    let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
+    let crowd = LoadGenerator::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
     assert!(crowd.wait_for(10));
     world.fleet.order("engine-north", SetupChange::Drained(true)).expect("an order");
     let rests = || world.engines[0].setup().drained && world.engines[0].running() == 0;
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -12,7 +12,7 @@
 use kingcupgrade::{ops::fresh_change_id, protocol::record::Command};
 
 use crate::support::{
-    Crowd, Harness, TIMEOUT, check_answers, engine_owned_by, prompt, start, start_named,
+    Harness, LoadGenerator, TIMEOUT, check_answers, engine_owned_by, prompt, start, start_named,
 };
 
 /// An engine that never warms up, so that its cold limit holds all the time.
@@ -45,7 +45,7 @@
 fn a_killed_dispatcher_is_replaced_and_the_backlog_served() {
     let mut world = start(&["north"], 3, &cold_engine()).with_documents();
     let (dispatcher, others) = split(&world, "north");
-    let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
+    let crowd = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
     assert!(crowd.wait_for(5));
     world.fleet.kill(&dispatcher);
     assert!(crowd.wait_for(20), "the backlog is not served after the take-over");
@@ -60,7 +60,7 @@
 fn a_thawed_dispatcher_gives_no_slot_of_its_successor() {
     let world = start(&["north"], 3, &cold_engine()).with_documents();
     let (dispatcher, others) = split(&world, "north");
-    let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
+    let crowd = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
     assert!(crowd.wait_for(5));
     world.fleet.signal(&dispatcher, "STOP");
     let replaced = wait_until(TIMEOUT, || {
@@ -72,7 +72,7 @@
     assert!(replaced, "nobody takes over");
     assert!(crowd.wait_for(10), "the successor does not serve");
     world.fleet.signal(&dispatcher, "CONT");
-    let thawed = Crowd::start("thawed", world.fleet.entry(&dispatcher), "birch", 2, 10);
+    let thawed = LoadGenerator::start("thawed", world.fleet.entry(&dispatcher), "birch", 2, 10);
     assert!(thawed.wait_for(5), "the thawed entry does not serve");
     assert!(crowd.wait_for(10));
     check_answers(&crowd.finish());
@@ -89,7 +89,7 @@
         let engine = engine_owned_by(owner, &names);
         let world = start_named(&["north"], 3, &cold_engine(), |_| engine.clone()).with_documents();
         let other = &names[(n + 1) % 3];
-        let crowd = Crowd::start("kept", world.fleet.entry(other), "alder", 5, 10);
+        let crowd = LoadGenerator::start("kept", world.fleet.entry(other), "alder", 5, 10);
         assert!(crowd.wait_for(5));
         world.fleet.signal(owner, "STOP");
         thread::sleep(TAKE_OVER);
@@ -106,8 +106,8 @@
 #[test]
 fn a_failure_domain_that_is_cut_off_serves_and_rejoins() {
     let world = start(&["north", "south"], 2, &cold_engine()).with_documents();
-    let north = Crowd::start("north", world.fleet.entry("entry-north-0"), "alder", 4, 10);
-    let south = Crowd::start("south", world.fleet.entry("entry-south-0"), "birch", 4, 10);
+    let north = LoadGenerator::start("north", world.fleet.entry("entry-north-0"), "alder", 4, 10);
+    let south = LoadGenerator::start("south", world.fleet.entry("entry-south-0"), "birch", 4, 10);
     assert!(north.wait_for(5) && south.wait_for(5));
     world.fleet.cut_domain("south", true);
     // Long enough for both sides to notice: leases, sessions and freshness have run out.
@@ -129,8 +129,8 @@
 fn a_restarted_entry_serves_again_and_disturbs_nobody() {
     let mut world = start(&["north"], 3, &cold_engine()).with_documents();
     let (_, others) = split(&world, "north");
-    let kept = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
-    let lost = Crowd::start("lost", world.fleet.entry(&others[1]), "birch", 3, 10);
+    let kept = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
+    let lost = LoadGenerator::start("lost", world.fleet.entry(&others[1]), "birch", 3, 10);
     assert!(kept.wait_for(5) && lost.wait_for(5));
     world.fleet.kill(&others[1]);
     assert!(kept.wait_for(10));
@@ -151,9 +151,9 @@
     let small = document("tutor", "model-engine", &[("alder", 1), ("birch", 1)], rest);
     world.fleet.apply("tutor", 1, &small).expect("the smaller queue in force");
     let entry = world.fleet.entry("entry-north-0");
-    let flood = Crowd::start("flood", entry, "alder", 30, 10);
+    let flood = LoadGenerator::start("flood", entry, "alder", 30, 10);
     assert!(flood.wait_for(5));
-    let other = Crowd::start("other", entry, "birch", 2, 10);
+    let other = LoadGenerator::start("other", entry, "birch", 2, 10);
     assert!(other.wait_for(10), "the other organisation is not served");
     let answers = other.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
@@ -172,7 +172,7 @@
 fn a_warm_engine_gone_cold_without_notice_does_not_fall_over() {
     let engine = EngineConfig { warm_slots: 4, ..EngineConfig::default() };
     let world = start(&["north"], 2, &engine).with_documents();
-    let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 8, 15);
+    let crowd = LoadGenerator::start("kept", world.fleet.entry("entry-north-0"), "alder", 8, 15);
     let warmed = || world.engines[0].is_warm() && world.engines[0].running() > 2;
     assert!(wait_until(TIMEOUT, warmed), "the engine is never given more than its cold limit");
     world.engines[0].turn_cold();
@@ -187,7 +187,7 @@
 fn connections_silent_for_good_are_replaced() {
     let world = start(&["north"], 3, &cold_engine()).with_documents();
     let (dispatcher, others) = split(&world, "north");
-    let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
+    let crowd = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
     assert!(crowd.wait_for(5));
     for other in &others {
         world.fleet.link(other, &dispatcher).freeze_open();
@@ -206,7 +206,7 @@
 fn a_dispatcher_killed_while_connections_are_silent_is_replaced() {
     let mut world = start(&["north"], 3, &cold_engine()).with_documents();
     let (dispatcher, others) = split(&world, "north");
-    let crowd = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
+    let crowd = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
     assert!(crowd.wait_for(5));
     world.fleet.link(&others[0], &others[1]).freeze_open();
     world.fleet.link(&others[1], &others[0]).freeze_open();
@@ -234,7 +234,7 @@
         world.engines.push(engine);
     }
     let mut world = world.with_documents();
-    let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
+    let crowd = LoadGenerator::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
     assert!(crowd.wait_for(5));
     world.fleet.kill("entry-north-1");
     world.fleet.kill("entry-north-2");
@@ -264,7 +264,7 @@
     );
     world.engines.push(second);
     let world = world.with_documents();
-    let crowd = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 20);
+    let crowd = LoadGenerator::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 20);
     assert!(wait_until(TIMEOUT, || world.engines.iter().all(|e| e.record().begun.len() > 5)));
     let change = fresh_change_id().expect("a change id");
     let leave = Command::SetLeaving { change, upstream: "engine-north".into(), leaving: true };
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -131,13 +131,13 @@
 }
 
 /// Generates closed-loop load: each caller sends its next request when the previous one has ended.
-pub(crate) struct Crowd {
+pub(crate) struct LoadGenerator {
     stop: Arc<AtomicBool>,
     done: Arc<AtomicUsize>,
     threads: Vec<JoinHandle<Vec<(Prompt, Answer)>>>,
 }
 
-impl Crowd {
+impl LoadGenerator {
     /// Starts `callers` threads that request answers of `tokens` tokens from `entry` on behalf of
     /// `organisation`.
     pub(crate) fn start(
@@ -146,11 +146,12 @@
         organisation: &str,
         callers: usize,
         tokens: u64,
-    ) -> Crowd {
-        let mut crowd = Crowd { stop: Arc::default(), done: Arc::default(), threads: Vec::new() };
+    ) -> LoadGenerator {
+        let mut generator =
+            LoadGenerator { stop: Arc::default(), done: Arc::default(), threads: Vec::new() };
         for n in 0..callers {
             let caller = Caller::new(&token(organisation));
-            let (stop, done) = (crowd.stop.clone(), crowd.done.clone());
+            let (stop, done) = (generator.stop.clone(), generator.done.clone());
             let (name, organisation) = (name.to_owned(), organisation.to_owned());
             let call = move || {
                 let mut answers = Vec::new();
@@ -167,9 +168,9 @@
                 }
                 answers
             };
-            crowd.threads.push(std::thread::spawn(call));
+            generator.threads.push(std::thread::spawn(call));
         }
-        crowd
+        generator
     }
 
     /// Returns the number of complete answers received so far.
