--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -22,14 +22,14 @@
 }
 
 fn runs(harness: &Harness, key: &str) -> u32 {
-    harness.plains.iter().map(|plain| plain.runs_of(key)).sum()
+    harness.plain_services.iter().map(|plain| plain.runs_of(key)).sum()
 }
 
 /// Starts a fleet whose plain service is reachable only through a fault-injecting proxy.
 fn start_behind_proxy(entries: usize) -> (Harness, Proxy) {
     let harness = start(&["north"], entries, &EngineConfig::default());
-    let proxy = Proxy::start(harness.plains[0].address());
-    let plain = Backend::Plain(harness.plains[0].clone());
+    let proxy = Proxy::start(harness.plain_services[0].address());
+    let plain = Backend::Plain(harness.plain_services[0].clone());
     harness.platform.add("orders-behind", "orders", "north", proxy.address(), plain);
     harness.platform.leave("orders-north");
     let harness = harness.with_documents();
@@ -81,7 +81,7 @@
                 slots: {cold: 1, warm: 1}\nlimits: {deadline_ms: 20000, silence_ms: 9000}\n";
     let single_slot = document("orders", "plain-service", &[("alder", 1)], rest);
     harness.fleet.apply("orders", 1, &single_slot).expect("the document with one slot applied");
-    harness.plains[0].set_delay(Duration::from_secs(4));
+    harness.plain_services[0].set_delay(Duration::from_secs(4));
     let first = spawn_deposit(&harness, "entry-north-0", "running");
     assert!(wait_until(TIMEOUT, || runs(&harness, "running") == 1));
     let second = spawn_deposit(&harness, "entry-north-1", "waiting");
@@ -124,7 +124,7 @@
 #[test]
 fn a_deposit_lost_after_it_was_sent_runs_once() {
     let mut harness = start(&["north"], 3, &EngineConfig::default()).with_documents();
-    harness.plains[0].set_delay(Duration::from_secs(3));
+    harness.plain_services[0].set_delay(Duration::from_secs(3));
     let lost = spawn_deposit(&harness, "entry-north-0", "sent");
     assert!(wait_until(TIMEOUT, || runs(&harness, "sent") == 1));
     harness.fleet.kill("entry-north-0");
@@ -141,7 +141,7 @@
 #[test]
 fn a_deposit_whose_answer_breaks_off_is_unknown_and_not_retried() {
     let (harness, proxy) = start_behind_proxy(1);
-    harness.plains[0].set_delay(Duration::from_secs(3));
+    harness.plain_services[0].set_delay(Duration::from_secs(3));
     let broken = spawn_deposit(&harness, "entry-north-0", "broken");
     assert!(wait_until(TIMEOUT, || runs(&harness, "broken") == 1));
     proxy.reset_open();
--- a/tests/testsuite/record/mod.rs
+++ b/tests/testsuite/record/mod.rs
@@ -126,7 +126,7 @@
     }
     stop.store(true, Ordering::SeqCst);
     let deposits = depositor.join().expect("a depositor");
-    let runs = |key: &str| world.plains.iter().map(|plain| plain.runs_of(key)).sum::<u32>();
+    let runs = |key: &str| world.plain_services.iter().map(|plain| plain.runs_of(key)).sum::<u32>();
     assert!(deposits.iter().any(|(_, outcome, _)| outcome == "done"));
     for (key, outcome, only_not_run) in &deposits {
         assert!(runs(key) <= 1, "{key} ran {} times", runs(key));
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -68,7 +68,7 @@
 pub(crate) struct Harness {
     pub(crate) platform: Platform,
     pub(crate) engines: Vec<Engine>,
-    pub(crate) plains: Vec<Plain>,
+    pub(crate) plain_services: Vec<Plain>,
     pub(crate) fleet: Fleet,
 }
 
@@ -94,7 +94,7 @@
     engine_name: impl Fn(&str) -> String,
 ) -> Harness {
     let platform = Platform::start(Duration::from_millis(200));
-    let (mut engines, mut plains, mut plans) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut engines, mut plain_services, mut plans) = (Vec::new(), Vec::new(), Vec::new());
     for domain in domains {
         let simulated = Engine::start(engine.clone());
         let name = engine_name(domain);
@@ -109,14 +109,14 @@
         let plain = Plain::start(Duration::from_millis(20));
         let name = format!("orders-{domain}");
         platform.add(&name, "orders", domain, plain.address(), Backend::Plain(plain.clone()));
-        plains.push(plain);
+        plain_services.push(plain);
         for n in 0..entries {
             plans.push(Plan::entry(&format!("entry-{domain}-{n}"), domain));
         }
         plans.push(Plan::control(&format!("control-{domain}"), domain));
     }
     let fleet = Fleet::start(daemon(), &plans, &platform, false).expect("a running fleet");
-    Harness { platform, engines, plains, fleet }
+    Harness { platform, engines, plain_services, fleet }
 }
 
 impl Harness {
