--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -133,7 +133,7 @@
 /// Generates closed-loop load: each caller sends its next request when the previous one has ended.
 pub(crate) struct LoadGenerator {
     stop: Arc<AtomicBool>,
-    done: Arc<AtomicUsize>,
+    completed: Arc<AtomicUsize>,
     threads: Vec<JoinHandle<Vec<(Prompt, Answer)>>>,
 }
 
@@ -148,10 +148,10 @@
         tokens: u64,
     ) -> LoadGenerator {
         let mut generator =
-            LoadGenerator { stop: Arc::default(), done: Arc::default(), threads: Vec::new() };
+            LoadGenerator { stop: Arc::default(), completed: Arc::default(), threads: Vec::new() };
         for n in 0..callers {
             let caller = Caller::new(&token(organisation));
-            let (stop, done) = (generator.stop.clone(), generator.done.clone());
+            let (stop, completed) = (generator.stop.clone(), generator.completed.clone());
             let (name, organisation) = (name.to_owned(), organisation.to_owned());
             let call = move || {
                 let mut answers = Vec::new();
@@ -160,7 +160,7 @@
                     let asked = prompt(&id, &organisation, tokens);
                     let answer = caller.prompt(entry, "tutor", &asked);
                     if answer.answers(&asked) {
-                        done.fetch_add(1, Ordering::SeqCst);
+                        completed.fetch_add(1, Ordering::SeqCst);
                     } else {
                         std::thread::sleep(Duration::from_millis(50));
                     }
@@ -174,14 +174,14 @@
     }
 
     /// Returns the number of complete answers received so far.
-    pub(crate) fn done(&self) -> usize {
-        self.done.load(Ordering::SeqCst)
+    pub(crate) fn completed(&self) -> usize {
+        self.completed.load(Ordering::SeqCst)
     }
 
     /// Waits for `more` complete answers; returns false if they do not arrive in time.
     pub(crate) fn wait_for(&self, more: usize) -> bool {
-        let target = self.done() + more;
-        wait_until(TIMEOUT, || self.done() >= target)
+        let target = self.completed() + more;
+        wait_until(TIMEOUT, || self.completed() >= target)
     }
 
     /// Lets the requests in flight finish, and returns all prompts with their answers.
