--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -20,7 +20,7 @@
     let engine = EngineConfig { token_time: Duration::from_millis(60), ..EngineConfig::default() };
     let harness = start(&["north"], 1, &engine).with_documents();
     let asked = prompt("stream", "alder", 10);
-    let body = serde_json::to_string(&asked).expect("plain data");
+    let body = serde_json::to_string(&asked).expect("a serialisable prompt");
     let mut first = None;
     let caller = Caller::new(&token("alder"));
     let entry = harness.fleet.entry("entry-north-0");
@@ -48,7 +48,7 @@
     };
     let threads = [ask("alder"), ask("birch")];
     for thread in threads {
-        thread.join().expect("a whole answer");
+        thread.join().expect("a complete answer");
     }
 }
 
@@ -59,7 +59,8 @@
 fn a_caller_that_hangs_up_frees_the_slot() {
     let harness = start(&["north"], 1, &EngineConfig::default()).with_documents();
     let entry = harness.fleet.entry("entry-north-0");
-    let body = serde_json::to_string(&prompt("long", "alder", 100_000)).expect("plain data");
+    let body =
+        serde_json::to_string(&prompt("long", "alder", 100_000)).expect("a serialisable prompt");
     let caller = Caller::new(&token("alder"));
     let answer =
         caller.post_with(entry, "/tutor/generate", &body, None, |line| !line.contains("long 5"));
@@ -86,12 +87,13 @@
     let open = || harness.fleet.metric("entry-north-0", "kingcup_open_requests");
     let (end, ended) = mpsc::channel::<()>();
     let first = thread::spawn(move || {
-        let body = serde_json::to_string(&prompt("first", "alder", 100_000)).expect("plain data");
+        let body = serde_json::to_string(&prompt("first", "alder", 100_000))
+            .expect("a serialisable prompt");
         let keep_reading = |_: &str| matches!(ended.try_recv(), Err(mpsc::TryRecvError::Empty));
         Caller::new(&token("alder")).post_with(entry, "/tutor/generate", &body, None, keep_reading)
     });
     assert!(wait_until(TIMEOUT, || harness.engines[0].running() == 1), "the first does not run");
-    let body = serde_json::to_string(&prompt("second", "alder", 3)).expect("plain data");
+    let body = serde_json::to_string(&prompt("second", "alder", 3)).expect("a serialisable prompt");
     let head = format!(
         "POST /tutor/generate HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer {}\r\n\
          Content-Length: {}\r\n\r\n",
@@ -122,7 +124,7 @@
     let (tx, rx) = mpsc::channel();
     let caller = thread::spawn(move || {
         let asked = prompt("kept", "alder", 150);
-        let body = serde_json::to_string(&asked).expect("plain data");
+        let body = serde_json::to_string(&asked).expect("a serialisable prompt");
         let answer =
             Caller::new(&token("alder")).post_with(entry, "/tutor/generate", &body, None, |_| {
                 let _ = tx.send(());
--- a/tests/testsuite/isolation.rs
+++ b/tests/testsuite/isolation.rs
@@ -100,14 +100,14 @@
             max_staleness: 0,
         };
         for host in 0..CONTROLS + ENTRIES {
-            let seed = simulation.draw(u64::MAX >> 12);
+            let seed = simulation.random_below(u64::MAX >> 12);
             simulation.hosts.push(Host::new(host, seed));
         }
         simulation
     }
 
     /// Returns the next pseudo-random number below `below`.
-    fn draw(&mut self, below: u64) -> u64 {
+    fn random_below(&mut self, below: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
@@ -146,7 +146,7 @@
 
     /// Submits the next configuration to a random control instance, unless that is isolated.
     fn submit_change(&mut self) {
-        let host = self.draw(CONTROLS as u64) as usize;
+        let host = self.random_below(CONTROLS as u64) as usize;
         if self.isolated == Some(host) {
             return;
         }
@@ -181,7 +181,7 @@
         if is_blocked(from, target) || is_blocked(target, from) {
             return;
         }
-        let at = self.now + 1 + self.draw(MAX_DELAY);
+        let at = self.now + 1 + self.random_below(MAX_DELAY);
         self.in_flight.push((at, self.hosts[from].settings.instance(), to, message));
     }
 
@@ -249,5 +249,5 @@
 /// switch from one control instance to another.
 #[test]
 fn entries_that_left_one_control_instance_after_the_other_stay_near_the_newest() {
-    check(|simulation| (0..6).map(|_| simulation.draw(CONTROLS as u64) as usize).collect());
+    check(|simulation| (0..6).map(|_| simulation.random_below(CONTROLS as u64) as usize).collect());
 }
--- a/tests/testsuite/stalls.rs
+++ b/tests/testsuite/stalls.rs
@@ -15,7 +15,7 @@
 /// The time that one step simulates, in milliseconds.
 const STEP: u64 = 20;
 /// Longer than a leader keeps leading without an answer from a majority, in milliseconds.
-const STALL: u64 = 1_800;
+const STALL_DURATION: u64 = 1_800;
 
 /// Three replicas, whose messages are delivered with the next step.
 struct Simulation {
@@ -97,7 +97,7 @@
     simulation.is_partitioned = true;
     simulation.run_for(1_000);
     simulation.stalled = Some(leader);
-    simulation.run_for(STALL);
+    simulation.run_for(STALL_DURATION);
     simulation.stalled = None;
     simulation.run_for(3_000);
     assert_eq!((simulation.leader(), simulation.replicas[leader].term()), (leader, term));
