--- a/tests/testsuite/domains.rs
+++ b/tests/testsuite/domains.rs
@@ -7,8 +7,8 @@
 use crate::support::{LoadGenerator, TIMEOUT, start};
 
 // Guards against a failure domain that still receives requests three seconds after an operator has
-// taken it out under full load, against requests lost in the transition, and against a domain that
-// does not serve again by itself once it is back.
+// taken it out, at short notice and under full load, against requests lost in the transition, and
+// against a domain that does not serve again by itself once it is back.
 #[test]
 fn a_failure_domain_out_gets_nothing_new_and_serves_again_when_it_is_back() {
     let harness = start(&["north", "south"], 2, &EngineConfig::default()).with_documents();
