--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -1,16 +1,17 @@
-//! One instance of a fleet that finds itself: membership, the record, and what entries tell each
-//! other.
+//! One instance of a fleet with automatic discovery: membership, the record of the configuration,
+//! and the exchange of load reports between entries.
 //!
-//! The machine serves both roles. An entry pulls the configuration and spreads its load; a control
-//! instance keeps a replica of the record besides and lists the fleet. Neither is told who the
-//! others are: they join the control instances they know, and learn the rest.
+//! The state machine serves both roles. An entry pulls the configuration and shares its load; a
+//! control instance also keeps a replica of the record and the roster of the fleet. No instance is
+//! configured with the whole fleet: each announces itself to the control instances that it knows,
+//! and learns of the others from them.
 
+mod discovery;
 mod io;
-mod joining;
 mod listing;
+mod load_exchange;
 mod roster;
-mod telling;
-mod totals;
+mod status;
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -18,12 +19,12 @@
 };
 
 pub use self::{
-    io::{ConfigurationSource, FleetInput, FleetOutput, RecordStanding, Ticket},
-    totals::{report_age, report_ttl, share_interval},
+    io::{ConfigurationSource, FleetInput, FleetOutput, RecordStatus, Ticket},
+    load_exchange::{report_age, report_ttl, share_interval},
 };
 use self::{
-    roster::{Joined, Roster, Told},
-    totals::{Totals, TotalsOutput},
+    load_exchange::{LoadExchange, LoadExchangeOutput},
+    roster::{Announcement, Roster, RosterUpdate},
 };
 use super::{
     client::RecordClient,
@@ -44,16 +45,18 @@
     state::log::Log,
 };
 
-impl From<TotalsOutput> for FleetOutput {
-    fn from(output: TotalsOutput) -> FleetOutput {
+impl From<LoadExchangeOutput> for FleetOutput {
+    fn from(output: LoadExchangeOutput) -> FleetOutput {
         match output {
-            TotalsOutput::SendToAll(to, message) => FleetOutput::SendToAll(to, message),
-            TotalsOutput::Heard(from, report) => FleetOutput::Heard(from, report),
+            LoadExchangeOutput::SendToAll(to, message) => FleetOutput::SendToAll(to, message),
+            LoadExchangeOutput::LoadReceived(from, report) => {
+                FleetOutput::LoadReceived(from, report)
+            }
         }
     }
 }
 
-/// The state of one instance.
+/// The state machine of one instance.
 #[derive(Debug)]
 pub struct FleetNode {
     settings: Arc<FleetSettings>,
@@ -62,21 +65,21 @@
     control: Option<ControlMachine>,
     client: RecordClient,
     roster: Roster,
-    totals: Totals,
+    load_exchange: LoadExchange,
     awaited: BTreeMap<u64, Ticket>,
     /// Messages from this instance to itself.
-    own: VecDeque<Message>,
-    next_join: Millis,
-    /// The wall clock when this process first said that it is there.
+    own_messages: VecDeque<Message>,
+    next_announcement: Millis,
+    /// The wall clock when this process first announced itself, in milliseconds since 1970.
     started: Option<u64>,
-    told_digest: u64,
-    told_source: Option<ConfigurationSource>,
-    told_standing: Option<RecordStanding>,
+    published_digest: u64,
+    reported_source: Option<ConfigurationSource>,
+    reported_status: Option<RecordStatus>,
     draining: bool,
 }
 
 impl FleetNode {
-    /// Makes the node of an instance; `control` is its replica of the record, if it has one.
+    /// Creates the node of an instance; `control` is its replica of the record, if it has one.
     pub fn new(settings: Arc<FleetSettings>, control: Option<ControlMachine>) -> FleetNode {
         let instance = settings.instance();
         let seeds = settings.seed_instances();
@@ -85,14 +88,14 @@
             view: View::default(),
             client,
             roster: Roster::new(seeds),
-            totals: Totals::default(),
+            load_exchange: LoadExchange::default(),
             awaited: BTreeMap::new(),
-            own: VecDeque::new(),
-            next_join: Millis::ZERO,
+            own_messages: VecDeque::new(),
+            next_announcement: Millis::ZERO,
             started: None,
-            told_digest: 0,
-            told_source: None,
-            told_standing: None,
+            published_digest: 0,
+            reported_source: None,
+            reported_status: None,
             draining: false,
             control,
             instance,
@@ -105,17 +108,17 @@
         &self.view
     }
 
-    /// Returns the replica of the record, if there is one.
+    /// Returns the replica of the record, if this instance has one.
     pub fn control(&self) -> Option<&ControlMachine> {
         self.control.as_ref()
     }
 
-    /// Returns the log as it stands, for writing it anew.
+    /// Returns the current log of the replica, for rewriting it on disk.
     pub fn log(&self) -> Option<&Log> {
         self.control.as_ref().map(|control| control.consensus().log())
     }
 
-    /// Handles an input; `unix_ms` is the wall clock.
+    /// Handles an input; `unix_ms` is the wall clock in milliseconds since 1970.
     pub fn handle(
         &mut self,
         now: Millis,
@@ -127,15 +130,15 @@
             FleetInput::Received(from, message) => {
                 self.on_message(now, unix_ms, &from, message, out);
             }
-            FleetInput::Asked(ticket, command, patience) => {
-                let id = self.client.propose(now, command, patience);
+            FleetInput::Command(ticket, command, timeout) => {
+                let id = self.client.propose(now, command, timeout);
                 self.awaited.insert(id, ticket);
             }
-            FleetInput::Share(report) => self.share(now, report, out),
-            FleetInput::ShareListing(news, duty) => self.share_listing(news, duty, out),
-            FleetInput::WantListing(from) => self.want_listing(from, out),
-            FleetInput::TellListing(to, news) => {
-                out.push(FleetOutput::Send(to, Message::Fleet(FleetMessage::Listing(news))));
+            FleetInput::ShareLoad(report) => self.share(now, report, out),
+            FleetInput::ShareListing(update, duty) => self.share_listing(update, duty, out),
+            FleetInput::RequestListing(from) => self.request_listing(from, out),
+            FleetInput::SendListing(to, update) => {
+                out.push(FleetOutput::Send(to, Message::Fleet(FleetMessage::Listing(update))));
             }
             FleetInput::StorageFailed(err) => {
                 if let Some(control) = &mut self.control {
@@ -146,33 +149,33 @@
             FleetInput::SeedsChanged(seeds) => self.roster.set_seeds(seeds),
             FleetInput::Drain => {
                 self.draining = true;
-                self.join(now, unix_ms, out);
-                self.run_control(out, |control, outputs| control.hand_over(outputs));
+                self.announce(now, unix_ms, out);
+                self.run_control(out, |control, outputs| control.transfer_leadership(outputs));
             }
             FleetInput::Tick => self.tick(now, unix_ms, out),
         }
-        self.deliver_own(now, unix_ms, out);
+        self.deliver_own_messages(now, unix_ms, out);
     }
 
-    /// Completes a batch of inputs: sends what was gathered over it.
+    /// Completes a batch of inputs: sends the messages that were collected during it.
     pub fn flush(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<FleetOutput>) {
         self.run_control(out, |control, outputs| control.flush(now, outputs));
         let mut messages = Vec::new();
         self.client.send_proposals(now, &mut messages);
         self.send_all(messages, out);
-        self.deliver_own(now, unix_ms, out);
+        self.deliver_own_messages(now, unix_ms, out);
     }
 
-    fn deliver_own(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<FleetOutput>) {
+    fn deliver_own_messages(&mut self, now: Millis, unix_ms: u64, out: &mut Vec<FleetOutput>) {
         let instance = self.instance.clone();
-        while let Some(message) = self.own.pop_front() {
+        while let Some(message) = self.own_messages.pop_front() {
             self.on_message(now, unix_ms, &instance, message, out);
         }
     }
 
     fn send(&mut self, to: Instance, message: Message, out: &mut Vec<FleetOutput>) {
         if to == self.instance {
-            self.own.push_back(message);
+            self.own_messages.push_back(message);
         } else {
             out.push(FleetOutput::Send(to, message));
         }
@@ -193,22 +196,22 @@
         let is_confirmed = self.view.is_fresh(now);
         self.client.pull(now, self.view.index(), is_confirmed, &mut messages);
         self.send_all(messages, out);
-        for (id, reply) in self.client.give_up_overdue(now) {
+        for (id, reply) in self.client.expire_proposals(now) {
             self.on_answer(id, reply, out);
         }
         self.roster.expire(now, self.control.is_some());
-        self.tell_entries(out);
-        self.tell_source(now, out);
-        self.tell_standing(now, out);
-        if now >= self.next_join {
-            self.join(now, unix_ms, out);
+        self.publish_entries(out);
+        self.report_source(now, out);
+        self.report_status(now, out);
+        if now >= self.next_announcement {
+            self.announce(now, unix_ms, out);
         }
     }
 
     fn share(&mut self, now: Millis, report: LoadReport, out: &mut Vec<FleetOutput>) {
         let domain = &self.settings.failure_domain;
         let mut outputs = Vec::new();
-        self.totals.share(now, &self.instance, domain, report, &mut outputs);
+        self.load_exchange.share(now, &self.instance, domain, report, &mut outputs);
         out.extend(outputs.into_iter().map(FleetOutput::from));
     }
 
@@ -228,7 +231,7 @@
             }
             Message::Record(message) => self.on_record(now, unix_ms, from, message, out),
             Message::Fleet(message) => self.on_fleet(now, unix_ms, from, message, out),
-            // Of the other kind of fleet, whose pools have dispatchers.
+            // These belong to fleets without discovery, whose pools have dispatchers.
             Message::Lease(_) | Message::Dispatch(_) => {}
         }
     }
@@ -243,29 +246,36 @@
     ) {
         match message {
             FleetMessage::Join { domain, leaving, known, started } => {
-                self.on_join(now, from, &Joined { domain, leaving, started }, out);
+                self.on_announcement(now, from, &Announcement { domain, leaving, started }, out);
                 if self.control.is_some() {
-                    self.answer_join(unix_ms, from, known, out);
+                    self.answer_announcement(unix_ms, from, known, out);
                 }
             }
             FleetMessage::Roster { number, entries, controls } => {
-                // A control instance lists whom it hears itself; of the others' lists it takes the
-                // control instances, to be able to reach a leader.
+                // A control instance lists only the entries that announce themselves to it. From
+                // the rosters of others it takes the control instances, so that it can reach a
+                // leader.
                 let entries = if self.control.is_some() { Vec::new() } else { entries };
-                self.roster.on_told(now, from, Told { number, entries, controls });
-                self.tell_entries(out);
+                self.roster.on_update(now, from, RosterUpdate { number, entries, controls });
+                self.publish_entries(out);
             }
-            FleetMessage::RosterUnchanged(number) => self.roster.on_same(now, from, number),
+            FleetMessage::RosterUnchanged(number) => self.roster.on_unchanged(now, from, number),
             FleetMessage::Load(report) => {
-                self.roster.on_heard(now, from);
-                out.extend(self.totals.on_load(now, from, report).map(FleetOutput::from));
+                self.roster.on_message_from(now, from);
+                out.extend(self.load_exchange.on_load(now, from, report).map(FleetOutput::from));
+            }
+            FleetMessage::DomainLoad(domain, sum) => {
+                self.load_exchange.on_domain_sum(now, domain, sum)
             }
-            FleetMessage::DomainLoad(domain, sum) => self.totals.on_domain_sum(now, domain, sum),
             FleetMessage::Total(total) => {
-                out.extend(self.totals.on_total(&self.instance, &total).map(FleetOutput::from));
+                out.extend(
+                    self.load_exchange.on_total(&self.instance, &total).map(FleetOutput::from),
+                );
+            }
+            FleetMessage::Listing(update) => {
+                out.push(FleetOutput::ListingReceived(from.clone(), update))
             }
-            FleetMessage::Listing(news) => out.push(FleetOutput::Listed(from.clone(), news)),
-            FleetMessage::ListingRequest => out.push(FleetOutput::ListingWanted(from.clone())),
+            FleetMessage::ListingRequest => out.push(FleetOutput::ListingRequested(from.clone())),
         }
     }
 
--- a/src/kingcupgrade/coordination/node/record.rs
+++ b/src/kingcupgrade/coordination/node/record.rs
@@ -1,4 +1,4 @@
-//! The record: this instance's replica, and its dealings with the leader's.
+//! The durable record: this instance's replica, and its client of the control instances.
 
 use super::{Awaited, Node, Output};
 use crate::{
@@ -77,7 +77,7 @@
         match self.awaited.remove(&id) {
             Some(Awaited::Claim(request)) => self.on_claim_answer(now, request, reply, out),
             Some(Awaited::Operator(ticket)) => {
-                out.push(Output::Answer(ticket, OperatorReply::Changed { reply }));
+                out.push(Output::OperatorReply(ticket, OperatorReply::Changed { reply }));
             }
             Some(Awaited::Settle) | None => {}
         }
@@ -90,14 +90,14 @@
                 dispatcher.set_document(&in_force.document);
             }
         }
-        self.renew_shares(now);
+        self.reload_share_documents(now);
         for service in &services {
-            self.set_standing(service);
+            self.update_availability(service);
         }
         if let Some(leases) = &mut self.leases {
             leases.set_services(services);
         }
-        self.keep_shares(now, out);
+        self.update_shares(now, out);
         out.push(Output::ViewChanged);
     }
 
@@ -116,7 +116,7 @@
         for (to, message) in messages {
             self.send(to, Message::Record(message), out);
         }
-        for (id, reply) in self.client.give_up_overdue(now) {
+        for (id, reply) in self.client.expire_proposals(now) {
             self.on_answer(now, id, reply, out);
         }
     }
--- a/src/kingcupgrade/transport/daemon.rs
+++ b/src/kingcupgrade/transport/daemon.rs
@@ -96,8 +96,8 @@
     // 1 is the replica number of the founding members, so new numbers start at 2.
     let new_number = random::number()?.max(2);
     let (disk, contents) = Disk::open(folder, &settings.instance, new_number)?;
-    if contents.torn > 0 {
-        log::warning("torn-write-cut", &contents.torn);
+    if contents.torn_bytes > 0 {
+        log::warning("torn-write-cut", &contents.torn_bytes);
     }
     let seed = random::number()?;
     let control = ControlMachine::new(clock.now(), contents.id, contents.stored, seed)?;
@@ -170,7 +170,7 @@
                 let ticket = self.next_ticket;
                 self.next_ticket += 1;
                 self.operators.insert(ticket, tx);
-                self.handle(Input::Asked(ticket, request), out);
+                self.handle(Input::OperatorRequest(ticket, request), out);
             }
         }
     }
@@ -232,12 +232,12 @@
                     let _ = tx.send(Verdict::Replay(answer));
                 }
             }
-            Output::Answer(ticket, reply) => {
+            Output::OperatorReply(ticket, reply) => {
                 if let Some(tx) = self.operators.remove(&ticket) {
                     let _ = tx.send(reply);
                 }
             }
-            Output::AskEngine(ask) => engines::ask(self.clock, ask, self.events.clone()),
+            Output::EngineRequest(ask) => engines::ask(self.clock, ask, self.events.clone()),
             Output::Watch(services) => self.watch(services),
             Output::ViewChanged => {
                 let view = Arc::new(self.node.view().clone());
@@ -261,6 +261,6 @@
     use crate::protocol::Message;
     matches!(
         output,
-        Output::Send(_, Message::Consensus(_) | Message::Record(_)) | Output::Answer(..)
+        Output::Send(_, Message::Consensus(_) | Message::Record(_)) | Output::OperatorReply(..)
     )
 }
--- a/src/kingcupgrade/transport/engines.rs
+++ b/src/kingcupgrade/transport/engines.rs
@@ -6,7 +6,7 @@
 use crate::{
     coordination::{
         node::Input,
-        orders::{ANSWER_TIME, Ask, EngineAnswer},
+        orders::{EngineRequest, EngineResponse, RESPONSE_TIMEOUT},
     },
     core::clock::Clock,
     protocol::order::{ORDER_PATH, OrderRequest, SETUP_PATH, UpstreamOrder},
@@ -19,18 +19,18 @@
 const OUTDATED: u16 = 409;
 
 /// Sends an order to an engine or reads its set-up, and reports the result to the node.
-pub fn ask(clock: Clock, ask: Ask, events: mpsc::Sender<Event>) {
+pub fn ask(clock: Clock, ask: EngineRequest, events: mpsc::Sender<Event>) {
     let run = move || {
         let answer = match &ask.order {
             // If the thread started late, another instance may hold the lease by now.
             Some(_) if clock.now() >= ask.until => {
-                EngineAnswer::Failed("the order expired before it could be sent".to_owned())
+                EngineResponse::Failed("the order expired before it could be sent".to_owned())
             }
             Some(order) => send_order(&ask, order),
             None => read_setup(&ask),
         };
         // The node outlives this thread; sending fails only while the process exits.
-        let _ = events.send(Event::Input(Input::EngineAnswered(ask.id, answer)));
+        let _ = events.send(Event::Input(Input::EngineResponded(ask.id, answer)));
     };
     // If the thread can't be started, no result is reported, and the node tries again later.
     let _ = thread::Builder::new().name("engines".to_owned()).stack_size(STACK_LEN).spawn(run);
@@ -38,14 +38,14 @@
 
 fn agent() -> ureq::Agent {
     let config = ureq::Agent::config_builder()
-        .timeout_global(Some(ANSWER_TIME.as_duration()))
+        .timeout_global(Some(RESPONSE_TIMEOUT.as_duration()))
         .max_idle_connections(0)
         .http_status_as_error(false)
         .build();
     ureq::Agent::new_with_config(config)
 }
 
-fn send_order(ask: &Ask, order: &UpstreamOrder) -> EngineAnswer {
+fn send_order(ask: &EngineRequest, order: &UpstreamOrder) -> EngineResponse {
     let request = OrderRequest {
         number: order.index,
         model: order.setup.model.clone(),
@@ -56,25 +56,27 @@
     let url = format!("http://{}{ORDER_PATH}", ask.address);
     match agent().post(url).send(body) {
         Ok(response) => match response.status().as_u16() {
-            200..=299 => EngineAnswer::Accepted,
-            OUTDATED => EngineAnswer::Outdated,
-            404 | 405 => EngineAnswer::Unsupported,
-            status => EngineAnswer::Failed(format!("the engine rejected the order: HTTP {status}")),
+            200..=299 => EngineResponse::Accepted,
+            OUTDATED => EngineResponse::Outdated,
+            404 | 405 => EngineResponse::Unsupported,
+            status => {
+                EngineResponse::Failed(format!("the engine rejected the order: HTTP {status}"))
+            }
         },
-        Err(err) => EngineAnswer::Failed(err.to_string()),
+        Err(err) => EngineResponse::Failed(err.to_string()),
     }
 }
 
-fn read_setup(ask: &Ask) -> EngineAnswer {
+fn read_setup(ask: &EngineRequest) -> EngineResponse {
     let url = format!("http://{}{SETUP_PATH}", ask.address);
     let mut response = match agent().get(url).call() {
-        Ok(response) if response.status() == 404 => return EngineAnswer::Unsupported,
+        Ok(response) if response.status() == 404 => return EngineResponse::Unsupported,
         Ok(response) => response,
-        Err(err) => return EngineAnswer::Failed(err.to_string()),
+        Err(err) => return EngineResponse::Failed(err.to_string()),
     };
     let text = response.body_mut().read_to_string().unwrap_or_default();
     match serde_json::from_str(&text) {
-        Ok(setup) => EngineAnswer::Setup(setup),
-        Err(err) => EngineAnswer::Failed(format!("could not decode the engine's set-up: {err}")),
+        Ok(setup) => EngineResponse::Setup(setup),
+        Err(err) => EngineResponse::Failed(format!("could not decode the engine's set-up: {err}")),
     }
 }
--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -144,8 +144,8 @@
     let folder = settings.data.clone().context("a control instance needs a data folder")?;
     let instance = settings.instance();
     let seeds = settings.seed_instances();
-    if settings.is_first_start && seeds.contains(&instance) && !disk::is_founded(&folder) {
-        disk::found(&folder, &instance, &seeds)?;
+    if settings.is_first_start && seeds.contains(&instance) && !disk::is_initialised(&folder) {
+        disk::init(&folder, &instance, &seeds)?;
     }
     open_replica(settings, &folder, clock)
 }
@@ -158,8 +158,8 @@
     // 1 is the replica number of the founding members, so new numbers start at 2.
     let new_number = random::number()?.max(2);
     let (mut disk, contents) = Disk::open(folder, &settings.instance(), new_number)?;
-    if contents.torn > 0 {
-        log::warning("torn-write-cut", &contents.torn);
+    if contents.torn_bytes > 0 {
+        log::warning("torn-write-cut", &contents.torn_bytes);
     }
     disk.rewrite(&contents.stored.log)?;
     let seed = random::number()?;
@@ -230,7 +230,7 @@
                 let ticket = self.next_ticket;
                 self.next_ticket += 1;
                 self.operators.insert(ticket, tx);
-                FleetInput::Asked(ticket, command, timeout)
+                FleetInput::Command(ticket, command, timeout)
             }
         };
         self.node.handle(self.clock.now(), unix_ms(), input, out);
@@ -312,15 +312,19 @@
                 log::event("entries", &entries.len());
                 (self.sink)(FleetUpdate::Entries(entries));
             }
-            FleetOutput::Heard(from, report) => (self.sink)(FleetUpdate::Heard(from, report)),
-            FleetOutput::Listed(from, update) => (self.sink)(FleetUpdate::Listed(from, update)),
-            FleetOutput::ListingWanted(from) => (self.sink)(FleetUpdate::ListingWanted(from)),
+            FleetOutput::LoadReceived(from, report) => {
+                (self.sink)(FleetUpdate::Heard(from, report))
+            }
+            FleetOutput::ListingReceived(from, update) => {
+                (self.sink)(FleetUpdate::Listed(from, update))
+            }
+            FleetOutput::ListingRequested(from) => (self.sink)(FleetUpdate::ListingWanted(from)),
             FleetOutput::SourceChanged(source) => log::event("configuration-source", &source),
             FleetOutput::Restarted { instance, restarts } => {
                 counter!("kingcup_restarts_seen").increment(1);
                 log::event("instance-restarted", &(instance, restarts));
             }
-            FleetOutput::StandingChanged(standing) => log::event("record-standing", &standing),
+            FleetOutput::RecordStatusChanged(status) => log::event("record-standing", &status),
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/request/mod.rs
+++ b/src/kingcupgrade/transport/gateway/request/mod.rs
@@ -170,7 +170,8 @@
     pub(super) fn shed(&self) -> Response<ResponseBody<E>> {
         // The request isn't queued, so nothing is registered under its number.
         let demand = self.demand(0);
-        let retry_after = self.gateway.traffic.borrow_mut().turn_away(self.arrived, &demand);
+        let retry_after =
+            self.gateway.traffic.borrow_mut().refuse_overloaded(self.arrived, &demand);
         self.refuse(Code::TooBusy, retry_after)
     }
 
@@ -264,7 +265,7 @@
         self.route.kind.is_idempotent()
             && attempts < self.route.max_attempts
             && Instant::now() < self.deadline
-            && self.gateway.traffic.borrow_mut().try_repeat(self.gateway.now(), &self.service)
+            && self.gateway.traffic.borrow_mut().try_retry(self.gateway.now(), &self.service)
     }
 
     /// Queues and sends the request, retrying as far as permitted, until the head of a response
@@ -330,7 +331,7 @@
         let attempts = self.progress.borrow().attempts;
         attempts < self.route.max_attempts.max(2)
             && Instant::now() < self.deadline
-            && self.gateway.traffic.borrow_mut().try_repeat(self.gateway.now(), &self.service)
+            && self.gateway.traffic.borrow_mut().try_retry(self.gateway.now(), &self.service)
     }
 
     fn demand(&self, no: RequestNo) -> Demand {
@@ -343,7 +344,7 @@
             target: self.target,
             deadline: self.deadline_at,
             prompt: self.prompt.clone(),
-            output: self.output,
+            expected_output: self.output,
             avoid: self.progress.borrow().avoid.clone(),
         }
     }
--- a/src/kingcupgrade/transport/gateway/scheduling_delay.rs
+++ b/src/kingcupgrade/transport/gateway/scheduling_delay.rs
@@ -25,30 +25,30 @@
 impl<E: PlatformAdapter> Gateway<E> {
     fn record_probe_delay(&self, delay: Millis) {
         let mut overload = self.overload.get();
-        overload.on_turn(delay);
+        overload.on_probe_delay(delay);
         self.overload.set(overload);
     }
 
     /// Records how long a new connection's task waited until it first ran.
     pub(super) fn record_connection_delay(&self, delay: Millis) {
         let mut overload = self.overload.get();
-        overload.on_wait(delay);
+        overload.on_delay(delay);
         self.overload.set(overload);
     }
 
     /// Logs the state of the overload protection if it refuses any requests.
     pub(super) fn log_overload(&self) {
         let overload = self.overload.get();
-        let part = overload.part();
-        if part == 0.0 && !overload.is_far_behind() {
+        let part = overload.refused_fraction();
+        if part == 0.0 && !overload.is_saturated() {
             return;
         }
         log::event(
             "overloaded",
             &OverloadLine {
                 part,
-                refuses_all: overload.is_far_behind(),
-                turn_wait_ms: overload.turn_wait(),
+                refuses_all: overload.is_saturated(),
+                turn_wait_ms: overload.scheduling_delay(),
                 open: (self.open_connections.get(), self.open_requests.get()),
                 waiting: self.traffic.borrow().waiting(),
             },
@@ -58,7 +58,7 @@
     /// Decides whether to refuse the request that has just arrived because of overload.
     pub(super) fn must_shed(&self) -> bool {
         let mut overload = self.overload.get();
-        let refuses = overload.refuses();
+        let refuses = overload.should_refuse();
         self.overload.set(overload);
         refuses
     }
--- a/tests/testsuite/disk.rs
+++ b/tests/testsuite/disk.rs
@@ -49,7 +49,7 @@
 
 /// Initialises the folder of a replica and writes entries 1 to `count`, each in its own write.
 fn write_entries(folder: &Path, count: u64) -> Log {
-    disk::found(folder, &instance(), &[instance()]).expect("an initialised replica");
+    disk::init(folder, &instance(), &[instance()]).expect("an initialised replica");
     let (mut disk, contents) = Disk::open(folder, &instance(), 2).expect("an open folder");
     let mut log = contents.stored.log;
     for index in 1..=count {
@@ -72,14 +72,14 @@
         fs::write(&path, &bytes[..bytes.len() - cut]).expect("a shortened log");
         let contents = disk::read(folder.path()).expect("a readable folder");
         assert_eq!(contents.stored.log.last().index, 4);
-        assert!(contents.torn > 0);
+        assert!(contents.torn_bytes > 0);
     }
     let (mut disk, contents) = Disk::open(folder.path(), &instance(), 2).expect("an open folder");
     let mut log = contents.stored.log;
     log.push(entry(5));
     disk.write(vec![Persist::Entries(vec![entry(5)])], &log).expect("a write");
     let contents = disk::read(folder.path()).expect("a readable folder");
-    assert_eq!((contents.stored.log.last().index, contents.torn), (5, 0));
+    assert_eq!((contents.stored.log.last().index, contents.torn_bytes), (5, 0));
 }
 
 // Guards against the silent loss of acknowledged entries when a sector in the middle of the log is
@@ -165,7 +165,7 @@
     write_entries(folder.path(), 1);
     let err = Disk::open(folder.path(), &"control-1".into(), 2).expect_err("a refused folder");
     assert_eq!(err.code, Code::DataForeign);
-    let err = disk::found(folder.path(), &instance(), &[instance()])
-        .expect_err("a second initialisation");
+    let err =
+        disk::init(folder.path(), &instance(), &[instance()]).expect_err("a second initialisation");
     assert_eq!(err.code, Code::DataForeign);
 }
--- a/tests/testsuite/isolation.rs
+++ b/tests/testsuite/isolation.rs
@@ -76,7 +76,7 @@
             let members = instances
                 .map(|instance| Member { id: ReplicaId(instance, INITIAL_REPLICA), voter: true });
             let id = ReplicaId(settings.instance(), INITIAL_REPLICA);
-            let stored = Stored::founding(members.collect());
+            let stored = Stored::initial(members.collect());
             let mut control = ControlMachine::new(Millis(0), id, stored, seed)
                 .expect("an empty state can be read");
             control.set_voter_target(CONTROLS);
@@ -153,7 +153,7 @@
         self.version += 1;
         let (version, text) = (self.version, format!("configuration {}", self.version).into());
         let command = Command::Replace(StoredConfiguration { version, text, index: 0 });
-        self.handle(host, FleetInput::Asked(version, command, CHANGE_TIMEOUT));
+        self.handle(host, FleetInput::Command(version, command, CHANGE_TIMEOUT));
     }
 
     fn handle(&mut self, host: usize, input: FleetInput) {
--- a/tests/testsuite/members.rs
+++ b/tests/testsuite/members.rs
@@ -11,7 +11,7 @@
 /// Returns the leader of a record with a single voter.
 fn leader() -> Consensus {
     let id = ReplicaId("a".into(), 1);
-    let stored = Stored::founding(vec![Member { id: id.clone(), voter: true }]);
+    let stored = Stored::initial(vec![Member { id: id.clone(), voter: true }]);
     let mut leader = Consensus::new(Millis(0), id, stored, 7);
     leader.tick(Millis(5_000), &mut Vec::new());
     assert!(leader.is_leader());
@@ -92,7 +92,7 @@
     let voters = ["a", "b", "c"].map(|name| ReplicaId(name.into(), 1));
     let members: Vec<Member> =
         voters.iter().map(|id| Member { id: id.clone(), voter: true }).collect();
-    let mut leader = Consensus::new(Millis(0), voters[0].clone(), Stored::founding(members), 7);
+    let mut leader = Consensus::new(Millis(0), voters[0].clone(), Stored::initial(members), 7);
     let out = &mut Vec::new();
     leader.tick(Millis(5_000), out);
     for pre in [true, false] {
@@ -134,7 +134,7 @@
     let mut members: Vec<Member> =
         voters.iter().map(|id| Member { id: id.clone(), voter: true }).collect();
     members.push(Member { id: learner.clone(), voter: false });
-    let stored = Stored::founding(members);
+    let stored = Stored::initial(members);
     let mut leader = Consensus::new(Millis(0), voters[0].clone(), stored, 7);
     let out = &mut Vec::new();
     send_hello(&mut leader, Millis(4_000), 77);
--- a/tests/testsuite/stalls.rs
+++ b/tests/testsuite/stalls.rs
@@ -35,7 +35,7 @@
     /// Starts the replicas and runs them long enough to elect a leader.
     fn new() -> Simulation {
         let members: Vec<Member> = (0..3).map(|n| Member { id: id(n), voter: true }).collect();
-        let replica = |n| Consensus::new(Millis(0), id(n), Stored::founding(members.clone()), 7);
+        let replica = |n| Consensus::new(Millis(0), id(n), Stored::initial(members.clone()), 7);
         let mut simulation = Simulation {
             now: 0,
             replicas: (0..3).map(replica).collect(),
