--- a/tests/testsuite/deposits.rs
+++ b/tests/testsuite/deposits.rs
@@ -4,11 +4,11 @@
 use std::{thread, time::Duration};
 
 use kingcup_support::{
-    caller::{Answer, Caller},
+    caller::{Caller, Response},
     engine::EngineConfig,
-    fleet::{Fleet, Plan, document, token},
-    plain::Plain,
-    platform::{Backend, Platform},
+    fleet::{Fleet, InstancePlan, document, token},
+    plain_service::PlainService,
+    platform::{FakeUpstream, Platform},
     proxy::Proxy,
     wait_until,
 };
@@ -16,7 +16,7 @@
 
 use crate::support::{Harness, TIMEOUT, daemon, daemon_with_full_disk, orders_document, start};
 
-fn deposit(harness: &Harness, entry: &str, key: &str, body: &str) -> Answer {
+fn deposit(harness: &Harness, entry: &str, key: &str, body: &str) -> Response {
     let address = harness.fleet.entry(entry);
     Caller::new(&token("alder")).post(address, "/orders/deposits", body, Some(key))
 }
@@ -29,7 +29,7 @@
 fn start_behind_proxy(entries: usize) -> (Harness, Proxy) {
     let harness = start(&["north"], entries, &EngineConfig::default());
     let proxy = Proxy::start(harness.plain_services[0].address());
-    let plain = Backend::Plain(harness.plain_services[0].clone());
+    let plain = FakeUpstream::Plain(harness.plain_services[0].clone());
     harness.platform.add("orders-behind", "orders", "north", proxy.address(), plain);
     harness.platform.leave("orders-north");
     let harness = harness.with_documents();
@@ -39,7 +39,11 @@
 }
 
 /// Sends a deposit from a background thread, so that its entry can be killed in the meantime.
-fn spawn_deposit(harness: &Harness, entry: &str, key: &'static str) -> thread::JoinHandle<Answer> {
+fn spawn_deposit(
+    harness: &Harness,
+    entry: &str,
+    key: &'static str,
+) -> thread::JoinHandle<Response> {
     let address = harness.fleet.entry(entry);
     thread::spawn(move || {
         Caller::new(&token("alder")).post(address, "/orders/deposits", "50", Some(key))
@@ -114,7 +118,7 @@
     let retried = deposit(&harness, "entry-north-1", "claimed", "50");
     assert_eq!(retried.outcome, "unknown", "{retried:?}");
     assert_eq!(retried.code, 2008, "{retried:?}");
-    proxy.reset_open();
+    proxy.close_open_connections();
     proxy.cut(false);
     assert!(runs(&harness, "claimed") <= 1);
 }
@@ -144,7 +148,7 @@
     harness.plain_services[0].set_delay(Duration::from_secs(3));
     let broken = spawn_deposit(&harness, "entry-north-0", "broken");
     assert!(wait_until(TIMEOUT, || runs(&harness, "broken") == 1));
-    proxy.reset_open();
+    proxy.close_open_connections();
     let answer = broken.join().expect("a caller");
     assert_eq!((answer.code, answer.outcome.as_str()), (4002, "unknown"), "{answer:?}");
     let retried = deposit(&harness, "entry-north-0", "broken", "50");
@@ -164,7 +168,7 @@
     let refused = deposit(&harness, "entry-north-0", "later", "50");
     assert_eq!((refused.code, refused.outcome.as_str()), (3005, "not-run"), "{refused:?}");
     assert_eq!(runs(&harness, "later"), 0);
-    harness.fleet.run("control-south").expect("a started control instance");
+    harness.fleet.start_instance("control-south").expect("a started control instance");
     let mut last = None;
     let done = wait_until(TIMEOUT, || {
         let answer = deposit(&harness, "entry-north-0", "later", "50");
@@ -191,12 +195,12 @@
 
 fn fill_disk(blocks: u32) {
     let platform = Platform::start(Duration::ZERO);
-    let plain = Plain::start(Duration::ZERO);
-    platform.add("orders", "orders", "north", plain.address(), Backend::Plain(plain.clone()));
+    let plain = PlainService::start(Duration::ZERO);
+    platform.add("orders", "orders", "north", plain.address(), FakeUpstream::Plain(plain.clone()));
     let roles = vec![Role::Entry, Role::Control];
-    let plan = Plan { instance: "all".to_owned(), domain: "north".to_owned(), roles };
+    let plan = InstancePlan { instance: "all".to_owned(), domain: "north".to_owned(), roles };
     let mut fleet = Fleet::prepare(daemon(), &[plan], &platform, false).expect("a prepared fleet");
-    fleet.run_as("all", &daemon_with_full_disk(blocks)).expect("a started instance");
+    fleet.start_instance_with("all", &daemon_with_full_disk(blocks)).expect("a started instance");
     assert!(wait_until(TIMEOUT, || fleet.leader().is_some()));
     fleet.apply("orders", 0, &orders_document()).expect("the document applied");
     fleet.wait_for_dispatchers("orders").expect("a dispatcher");
@@ -218,7 +222,7 @@
     }
     assert!(failed(&fleet), "the file size limit was never reached");
     fleet.kill("all");
-    fleet.run("all").expect("a started instance without a file size limit");
+    fleet.start_instance("all").expect("a started instance without a file size limit");
     fleet.wait_for_dispatchers("orders").expect("a dispatcher");
     for key in keys.iter().rev().take(3) {
         deposit(key);
--- a/tests/testsuite/domains.rs
+++ b/tests/testsuite/domains.rs
@@ -14,7 +14,7 @@
     let harness = start(&["north", "south"], 2, &EngineConfig::default()).with_documents();
     let north = LoadGenerator::start("north", harness.fleet.entry("entry-north-0"), "alder", 3, 15);
     let south = LoadGenerator::start("south", harness.fleet.entry("entry-south-0"), "birch", 3, 15);
-    let begun = || harness.engines[1].record().begun.len();
+    let begun = || harness.engines[1].record().started.len();
     assert!(wait_until(TIMEOUT, || begun() > 5), "south never served");
     harness.fleet.set_domain("south", true).expect("the failure domain out of service");
     // Three seconds is the guaranteed limit; the load continues meanwhile.
@@ -26,7 +26,7 @@
     harness.fleet.set_domain("south", false).expect("the failure domain back in service");
     assert!(wait_until(TIMEOUT, || begun() > before + 5), "south does not serve again");
     for (asked, answer) in north.finish().iter().chain(&south.finish()) {
-        assert!(answer.answers(asked), "{answer:?}");
+        assert!(answer.is_complete_for(asked), "{answer:?}");
     }
-    assert!(harness.engines.iter().all(|engine| engine.record().falls == 0));
+    assert!(harness.engines.iter().all(|engine| engine.record().crashes == 0));
 }
--- a/tests/testsuite/input.rs
+++ b/tests/testsuite/input.rs
@@ -129,7 +129,7 @@
     let too_large = send_raw(entry, endless.as_bytes());
     assert!(too_large.to_ascii_lowercase().contains("kingcup-code: 2005"), "{too_large}");
     let asked = prompt("after", "alder", 3);
-    assert!(caller.prompt(entry, "tutor", &asked).answers(&asked));
+    assert!(caller.prompt(entry, "tutor", &asked).is_complete_for(&asked));
 }
 
 // Guards against a lease message accepted from a peer without the fleet key. The frame is dropped,
@@ -157,7 +157,7 @@
     assert!(wait_until(TIMEOUT, is_counted), "the frame is not counted");
     let asked = prompt("after", "alder", 3);
     let entry = harness.fleet.entry("entry-north-0");
-    assert!(Caller::new(&token("alder")).prompt(entry, "tutor", &asked).answers(&asked));
+    assert!(Caller::new(&token("alder")).prompt(entry, "tutor", &asked).is_complete_for(&asked));
 }
 
 /// Runs the `kingcup` tool; returns its exit code and its combined output.
@@ -234,11 +234,11 @@
         let limited = format!("ulimit -n {limit}; exec {daemon} \"$@\"");
         let run = vec!["-c".to_owned(), limited, "sh".to_owned()];
         let program = Program { path: "/bin/sh".into(), run, init: Vec::new() };
-        harness.fleet.run_as("entry-north-0", &program).expect("a started entry");
+        harness.fleet.start_instance_with("entry-north-0", &program).expect("a started entry");
         let entry = harness.fleet.entry("entry-north-0");
         let is_served = |id: &str| {
             let asked = prompt(id, "alder", 3);
-            caller.prompt(entry, "tutor", &asked).answers(&asked)
+            caller.prompt(entry, "tutor", &asked).is_complete_for(&asked)
         };
         assert!(wait_until(TIMEOUT, || is_served("before")));
         let failures = || harness.fleet.log("entry-north-0").matches("accept-failed").count();
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -6,7 +6,7 @@
     caller::Caller,
     engine::{Engine, EngineConfig},
     fleet::{document, token},
-    platform::Backend,
+    platform::FakeUpstream,
     wait_until,
 };
 use kingcupgrade::{ops::fresh_change_id, protocol::record::Command};
@@ -17,7 +17,7 @@
 
 /// An engine that never warms up, so that its cold limit holds all the time.
 fn cold_engine() -> EngineConfig {
-    EngineConfig { warm_after: u32::MAX, ..EngineConfig::default() }
+    EngineConfig { requests_until_warm: u32::MAX, ..EngineConfig::default() }
 }
 
 /// Longer than it takes to lose and to win a lease.
@@ -26,8 +26,12 @@
 fn assert_spared(world: &Harness) {
     for engine in &world.engines {
         let record = engine.record();
-        assert_eq!(record.falls, 0, "a cold engine fell over");
-        assert!(record.most_while_cold <= 2, "{} ran at once", record.most_while_cold);
+        assert_eq!(record.crashes, 0, "a cold engine fell over");
+        assert!(
+            record.max_running_while_cold <= 2,
+            "{} ran at once",
+            record.max_running_while_cold
+        );
     }
 }
 
@@ -50,7 +54,7 @@
     world.fleet.kill(&dispatcher);
     assert!(crowd.wait_for(20), "the backlog is not served after the take-over");
     let answers = crowd.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     assert_spared(&world);
 }
 
@@ -109,12 +113,12 @@
     let north = LoadGenerator::start("north", world.fleet.entry("entry-north-0"), "alder", 4, 10);
     let south = LoadGenerator::start("south", world.fleet.entry("entry-south-0"), "birch", 4, 10);
     assert!(north.wait_for(5) && south.wait_for(5));
-    world.fleet.cut_domain("south", true);
+    world.fleet.partition_domain("south", true);
     // Long enough for both sides to notice: leases, sessions and freshness have run out.
     thread::sleep(Duration::from_secs(5));
     assert!(north.wait_for(10), "the north does not serve");
     assert!(south.wait_for(10), "the south does not serve");
-    world.fleet.cut_domain("south", false);
+    world.fleet.partition_domain("south", false);
     let fresh = || world.fleet.status("entry-south-0").is_ok_and(|status| status.fresh);
     assert!(wait_until(TIMEOUT, fresh), "the south does not rejoin");
     assert!(north.wait_for(10) && south.wait_for(10));
@@ -134,10 +138,10 @@
     assert!(kept.wait_for(5) && lost.wait_for(5));
     world.fleet.kill(&others[1]);
     assert!(kept.wait_for(10));
-    world.fleet.run(&others[1]).expect("a started entry");
+    world.fleet.start_instance(&others[1]).expect("a started entry");
     assert!(lost.wait_for(10), "the restarted entry does not serve");
     let answers = kept.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     check_answers(&lost.finish());
     assert_spared(&world);
 }
@@ -156,7 +160,7 @@
     let other = LoadGenerator::start("other", entry, "birch", 2, 10);
     assert!(other.wait_for(10), "the other organisation is not served");
     let answers = other.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     let answers = flood.finish();
     let refused: Vec<_> = answers.iter().filter(|(_, answer)| answer.code == 3001).collect();
     assert!(!refused.is_empty(), "nothing is refused");
@@ -178,7 +182,7 @@
     world.engines[0].turn_cold();
     assert!(crowd.wait_for(20));
     check_answers(&crowd.finish());
-    assert_eq!(world.engines[0].record().falls, 0);
+    assert_eq!(world.engines[0].record().crashes, 0);
 }
 
 // A firewall forgets the connections between two instances: they stay open and carry nothing,
@@ -190,8 +194,8 @@
     let crowd = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
     assert!(crowd.wait_for(5));
     for other in &others {
-        world.fleet.link(other, &dispatcher).freeze_open();
-        world.fleet.link(&dispatcher, other).freeze_open();
+        world.fleet.link(other, &dispatcher).stall_open_connections();
+        world.fleet.link(&dispatcher, other).stall_open_connections();
     }
     assert!(crowd.wait_for(15), "nothing is served after the connections went silent");
     let replaced = || world.fleet.metrics(&others[0]).contains("kingcup_peer_connections_replaced");
@@ -208,8 +212,8 @@
     let (dispatcher, others) = split(&world, "north");
     let crowd = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
     assert!(crowd.wait_for(5));
-    world.fleet.link(&others[0], &others[1]).freeze_open();
-    world.fleet.link(&others[1], &others[0]).freeze_open();
+    world.fleet.link(&others[0], &others[1]).stall_open_connections();
+    world.fleet.link(&others[1], &others[0]).stall_open_connections();
     world.fleet.kill(&dispatcher);
     assert!(crowd.wait_for(15), "the backlog is not served");
     check_answers(&crowd.finish());
@@ -229,7 +233,7 @@
             "tutor",
             "north",
             engine.address(),
-            Backend::Engine(engine.clone()),
+            FakeUpstream::Engine(engine.clone()),
         );
         world.engines.push(engine);
     }
@@ -260,22 +264,22 @@
         "tutor",
         "north",
         second.address(),
-        Backend::Engine(second.clone()),
+        FakeUpstream::Engine(second.clone()),
     );
     world.engines.push(second);
     let world = world.with_documents();
     let crowd = LoadGenerator::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 20);
-    assert!(wait_until(TIMEOUT, || world.engines.iter().all(|e| e.record().begun.len() > 5)));
+    assert!(wait_until(TIMEOUT, || world.engines.iter().all(|e| e.record().started.len() > 5)));
     let change = fresh_change_id().expect("a change id");
     let leave = Command::SetLeaving { change, upstream: "engine-north".into(), leaving: true };
     world.fleet.client().change(leave).expect("an accepted change");
     // The promise is three seconds; the load goes on all the while.
     thread::sleep(Duration::from_secs(3));
-    let before = world.engines[0].record().begun.len();
+    let before = world.engines[0].record().started.len();
     assert!(crowd.wait_for(20), "the other engine does not serve");
-    assert_eq!(world.engines[0].record().begun.len(), before, "new work at a leaving engine");
+    assert_eq!(world.engines[0].record().started.len(), before, "new work at a leaving engine");
     let answers = crowd.finish();
-    assert!(answers.iter().all(|(asked, answer)| answer.answers(asked)));
+    assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
 }
 
 // An engine goes silent in the middle of a quote and the connection stays open. The entry notices,
@@ -284,7 +288,7 @@
 fn an_answer_that_goes_silent_is_resumed_where_it_stopped() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
     let engine = world.engines[0].clone();
-    engine.go_silent_after(5);
+    engine.stall_after(5);
     let entry = world.fleet.entry("entry-north-0");
     let caller = thread::spawn(move || {
         let asked = prompt("quote", "alder", 12);
@@ -293,8 +297,8 @@
     });
     let silent = || engine.record().served.len() == 5;
     assert!(wait_until(TIMEOUT, silent), "the engine never began");
-    assert!(wait_until(TIMEOUT, || engine.record().begun.len() > 1), "nobody asks again");
-    engine.go_silent_after(0);
+    assert!(wait_until(TIMEOUT, || engine.record().started.len() > 1), "nobody asks again");
+    engine.stall_after(0);
     let (asked, answer) = caller.join().expect("a caller");
-    assert!(answer.answers(&asked), "{answer:?}");
+    assert!(answer.is_complete_for(&asked), "{answer:?}");
 }
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! Test harness: starts fleets of real processes with simulated upstreams, and generates load.
+//! Test harness: starts fleets of real processes with fake upstreams, and generates load.
 
 use std::{
     net::SocketAddr,
@@ -12,11 +12,11 @@
 
 pub(crate) use kingcup_support::settings::fleet_settings;
 use kingcup_support::{
-    caller::{Answer, Caller},
+    caller::{Caller, Response},
     engine::{Engine, EngineConfig, Prompt},
-    fleet::{Fleet, Plan, Program, document, token},
-    plain::Plain,
-    platform::{Backend, Platform},
+    fleet::{Fleet, InstancePlan, Program, document, token},
+    plain_service::PlainService,
+    platform::{FakeUpstream, Platform},
     wait_until,
 };
 use kingcupgrade::{
@@ -63,12 +63,12 @@
     document("orders", "plain-service", &[("alder", 1), ("birch", 1)], rest)
 }
 
-/// A running fleet with a simulated platform, and an engine and a plain service in each failure
+/// A running fleet with a fake platform, and an engine and a plain service in each failure
 /// domain.
 pub(crate) struct Harness {
     pub(crate) platform: Platform,
     pub(crate) engines: Vec<Engine>,
-    pub(crate) plain_services: Vec<Plain>,
+    pub(crate) plain_services: Vec<PlainService>,
     pub(crate) fleet: Fleet,
 }
 
@@ -96,24 +96,18 @@
     let platform = Platform::start(Duration::from_millis(200));
     let (mut engines, mut plain_services, mut plans) = (Vec::new(), Vec::new(), Vec::new());
     for domain in domains {
-        let simulated = Engine::start(engine.clone());
+        let fake = Engine::start(engine.clone());
         let name = engine_name(domain);
-        platform.add(
-            &name,
-            "tutor",
-            domain,
-            simulated.address(),
-            Backend::Engine(simulated.clone()),
-        );
-        engines.push(simulated);
-        let plain = Plain::start(Duration::from_millis(20));
+        platform.add(&name, "tutor", domain, fake.address(), FakeUpstream::Engine(fake.clone()));
+        engines.push(fake);
+        let plain = PlainService::start(Duration::from_millis(20));
         let name = format!("orders-{domain}");
-        platform.add(&name, "orders", domain, plain.address(), Backend::Plain(plain.clone()));
+        platform.add(&name, "orders", domain, plain.address(), FakeUpstream::Plain(plain.clone()));
         plain_services.push(plain);
         for n in 0..entries {
-            plans.push(Plan::entry(&format!("entry-{domain}-{n}"), domain));
+            plans.push(InstancePlan::entry(&format!("entry-{domain}-{n}"), domain));
         }
-        plans.push(Plan::control(&format!("control-{domain}"), domain));
+        plans.push(InstancePlan::control(&format!("control-{domain}"), domain));
     }
     let fleet = Fleet::start(daemon(), &plans, &platform, false).expect("a running fleet");
     Harness { platform, engines, plain_services, fleet }
@@ -134,7 +128,7 @@
 pub(crate) struct LoadGenerator {
     stop: Arc<AtomicBool>,
     completed: Arc<AtomicUsize>,
-    threads: Vec<JoinHandle<Vec<(Prompt, Answer)>>>,
+    threads: Vec<JoinHandle<Vec<(Prompt, Response)>>>,
 }
 
 impl LoadGenerator {
@@ -159,7 +153,7 @@
                     let id = format!("{name}-{n}-{}", answers.len());
                     let asked = prompt(&id, &organisation, tokens);
                     let answer = caller.prompt(entry, "tutor", &asked);
-                    if answer.answers(&asked) {
+                    if answer.is_complete_for(&asked) {
                         completed.fetch_add(1, Ordering::SeqCst);
                     } else {
                         std::thread::sleep(Duration::from_millis(50));
@@ -185,7 +179,7 @@
     }
 
     /// Lets the requests in flight finish, and returns all prompts with their answers.
-    pub(crate) fn finish(self) -> Vec<(Prompt, Answer)> {
+    pub(crate) fn finish(self) -> Vec<(Prompt, Response)> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().flat_map(|thread| thread.join().expect("a caller")).collect()
     }
@@ -197,14 +191,14 @@
 /// # Panics
 ///
 /// Panics on the first answer that is neither, and on one with events of another request.
-pub(crate) fn check_answers(answers: &[(Prompt, Answer)]) {
+pub(crate) fn check_answers(answers: &[(Prompt, Response)]) {
     for (asked, answer) in answers {
-        assert!(!answer.is_crossed(asked), "crossed: {answer:?}");
+        assert!(!answer.contains_other_prompt(asked), "crossed: {answer:?}");
         let is_refused = answer.outcome == "not-run" || answer.outcome == "unknown";
         let is_marked = answer.body.contains("event: error");
-        let is_cut_off = !answer.is_whole;
+        let is_cut_off = !answer.is_complete;
         assert!(
-            answer.answers(asked) || is_refused || is_marked || is_cut_off,
+            answer.is_complete_for(asked) || is_refused || is_marked || is_cut_off,
             "truncated: {answer:?}"
         );
     }
