--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The test suite: one binary, a module for each subject.
+//! Integration tests, built as one binary with a module for each subject.
 
 mod answers;
 mod cached_parts;
@@ -6,6 +6,7 @@
 mod connections;
 mod deposits;
 mod disk;
+mod documentation;
 mod domains;
 mod entry;
 mod events;
@@ -23,7 +24,6 @@
 mod model_record;
 mod orders;
 mod overload;
-mod pages;
 mod peers;
 mod pools;
 mod process;
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -23,24 +23,24 @@
 };
 
 use crate::support::{
-    Crowd, PATIENCE, World, check_answers, engine_owned_by, prompt, start, start_named,
+    Harness, LoadGenerator, TIMEOUT, check_answers, engine_owned_by, prompt, start, start_named,
 };
 
 fn load(model: &str) -> SetupChange {
     SetupChange::Load(model.to_owned())
 }
 
-fn entries(world: &World) -> Vec<String> {
+fn entries(world: &Harness) -> Vec<String> {
     world.fleet.entries().into_iter().map(|(instance, _)| instance).collect()
 }
 
-fn is_carried_out(world: &World, instances: &[String], upstream: &str, number: u64) -> bool {
+fn is_carried_out(world: &Harness, instances: &[String], upstream: &str, number: u64) -> bool {
     let stage = world.fleet.order_stage(instances, upstream);
     stage.is_some_and(|(known, stage)| known == number && stage == "as ordered")
 }
 
 /// Adds another engine to the pool.
-fn add_engine(world: &World) -> Engine {
+fn add_engine(world: &Harness) -> Engine {
     let other = Engine::start(EngineConfig::default());
     let upstream = FakeUpstream::Engine(other.clone());
     world.platform.add("engine-other", "tutor", "north", other.address(), upstream);
@@ -53,14 +53,14 @@
 fn a_model_is_loaded_under_load_at_nobodys_expense() {
     let world = start(&["north"], 2, &EngineConfig::default()).with_documents();
     let other = add_engine(&world);
-    let callers = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 10);
+    let callers = LoadGenerator::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 10);
     assert!(callers.wait_for(20));
     let number = world.fleet.order("engine-north", load("second")).expect("an order");
     let carried_out = || is_carried_out(&world, &entries(&world), "engine-north", number);
-    assert!(wait_until(PATIENCE, carried_out), "the order is not carried out");
+    assert!(wait_until(TIMEOUT, carried_out), "the order is not carried out");
     let started_before = world.engines[0].record().started.len();
     let serves_again = || world.engines[0].record().started.len() > started_before;
-    assert!(wait_until(PATIENCE, serves_again), "the changed engine gets no requests");
+    assert!(wait_until(TIMEOUT, serves_again), "the changed engine gets no requests");
     let answers = callers.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
     assert_eq!(world.engines[0].setup().model, "second");
@@ -91,28 +91,23 @@
         let world = start(&["north"], 1, &engine).with_documents();
         let instances = entries(&world);
         let first = world.fleet.order("engine-north", load("second")).expect("an order");
-        assert!(wait_until(PATIENCE, || is_carried_out(&world, &instances, "engine-north", first)));
+        assert!(wait_until(TIMEOUT, || is_carried_out(&world, &instances, "engine-north", first)));
         let second = world.fleet.order("engine-north", load("third")).expect("an order");
-        assert!(wait_until(PATIENCE, || is_carried_out(
-            &world,
-            &instances,
-            "engine-north",
-            second
-        )));
+        assert!(wait_until(TIMEOUT, || is_carried_out(&world, &instances, "engine-north", second)));
         let status = send_order_directly(world.engines[0].address(), first, "second");
         assert_eq!(status, if checks_fencing { 409 } else { 202 });
         let has_third_model = || {
             let setup = world.engines[0].setup();
             setup.model == "third" && setup.ready
         };
-        assert!(wait_until(PATIENCE, has_third_model), "the delayed order remains in effect");
+        assert!(wait_until(TIMEOUT, has_third_model), "the delayed order remains in effect");
         let outdated = world.engines[0].record().outdated_orders;
         assert_eq!(outdated, if checks_fencing { vec![first] } else { vec![] });
         let asked = prompt("after", "alder", 3);
         let caller = Caller::new(&token("alder"));
         let entry = world.fleet.entry("entry-north-0");
         let served = || caller.prompt(entry, "tutor", &asked).is_complete_for(&asked);
-        assert!(wait_until(PATIENCE, served));
+        assert!(wait_until(TIMEOUT, served));
     }
 }
 
@@ -129,13 +124,13 @@
         let asked = prompt("long", "alder", 400);
         Caller::new(&token("alder")).prompt(entry, "tutor", &asked).is_complete_for(&asked)
     });
-    assert!(wait_until(PATIENCE, || world.engines[0].running() == 1));
+    assert!(wait_until(TIMEOUT, || world.engines[0].running() == 1));
     let first = world.fleet.order("engine-north", load("second")).expect("an order");
     let waits = || {
         let stage = world.fleet.order_stage(std::slice::from_ref(&dispatcher), "engine-north");
         stage.is_some_and(|(number, stage)| number == first && stage == "finishing its requests")
     };
-    assert!(wait_until(PATIENCE, waits), "the order does not wait for the engine");
+    assert!(wait_until(TIMEOUT, waits), "the order does not wait for the engine");
     world.fleet.signal(&dispatcher, "STOP");
     let change = ops::fresh_change_id().expect("a change id");
     let command = Command::Order { change, upstream: "engine-north".into(), setup: load("third") };
@@ -144,10 +139,10 @@
         let setup = world.engines[0].setup();
         setup.model == "third" && setup.ready
     };
-    assert!(wait_until(PATIENCE, is_third), "the successor does not carry out the order");
+    assert!(wait_until(TIMEOUT, is_third), "the successor does not carry out the order");
     world.fleet.signal(&dispatcher, "CONT");
     let thawed = || world.fleet.status(&dispatcher).is_ok_and(|s| s.fresh && s.pools.is_empty());
-    assert!(wait_until(PATIENCE, thawed), "the thawed entry still dispatches");
+    assert!(wait_until(TIMEOUT, thawed), "the thawed entry still dispatches");
     assert!(long.join().expect("a caller"), "the long answer is cut off");
     let record = world.engines[0].record();
     let numbers: Vec<u64> = record.applied_orders.iter().map(|(number, _)| *number).collect();
@@ -174,7 +169,7 @@
             setup.model == "second" && setup.ready
         };
         assert!(
-            wait_until(PATIENCE, is_second),
+            wait_until(TIMEOUT, is_second),
             "the order is not carried out while {owner} is frozen"
         );
         world.fleet.signal(owner, "CONT");
@@ -192,13 +187,13 @@
     let mut world = start(&["north"], 3, &engine).with_documents();
     let dispatcher = world.fleet.dispatcher_of("tutor", "north").expect("a dispatcher");
     let others: Vec<String> = entries(&world).into_iter().filter(|i| *i != dispatcher).collect();
-    let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
+    let callers = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
     assert!(callers.wait_for(5));
     let number = world.fleet.order("engine-north", load("second")).expect("an order");
     let is_loading = || !world.engines[0].setup().ready;
-    assert!(wait_until(PATIENCE, is_loading), "the order is not sent");
+    assert!(wait_until(TIMEOUT, is_loading), "the order is not sent");
     world.fleet.kill(&dispatcher);
-    assert!(wait_until(PATIENCE, || is_carried_out(&world, &others, "engine-north", number)));
+    assert!(wait_until(TIMEOUT, || is_carried_out(&world, &others, "engine-north", number)));
     assert!(callers.wait_for(10), "the engine does not serve again");
     check_answers(&callers.finish());
     let record = world.engines[0].record();
@@ -213,17 +208,17 @@
 fn a_drained_engine_rests_until_it_is_ordered_back() {
     let world = start(&["north"], 1, &EngineConfig::default()).with_documents();
     add_engine(&world);
-    let callers = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
+    let callers = LoadGenerator::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
     assert!(callers.wait_for(10));
     world.fleet.order("engine-north", SetupChange::Drained(true)).expect("an order");
     let is_drained = || world.engines[0].setup().drained && world.engines[0].running() == 0;
-    assert!(wait_until(PATIENCE, is_drained), "the engine is not drained");
+    assert!(wait_until(TIMEOUT, is_drained), "the engine is not drained");
     let started_before = world.engines[0].record().started.len();
     assert!(callers.wait_for(20), "the other engine does not serve");
     assert_eq!(world.engines[0].record().started.len(), started_before);
     world.fleet.order("engine-north", SetupChange::Drained(false)).expect("an order");
     let serves_again = || world.engines[0].record().started.len() > started_before;
-    assert!(wait_until(PATIENCE, serves_again), "the engine does not serve again");
+    assert!(wait_until(TIMEOUT, serves_again), "the engine does not serve again");
     let answers = callers.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
 }
--- a/tests/testsuite/pools.rs
+++ b/tests/testsuite/pools.rs
@@ -12,7 +12,7 @@
 use kingcupgrade::{ops::fresh_change_id, protocol::record::Command};
 
 use crate::support::{
-    Crowd, PATIENCE, World, check_answers, engine_owned_by, prompt, start, start_named,
+    Harness, LoadGenerator, TIMEOUT, check_answers, engine_owned_by, prompt, start, start_named,
 };
 
 /// Returns the configuration of an engine that never warms up, so that its cold slot limit always
@@ -24,7 +24,7 @@
 /// Longer than a lease takes to expire and to be won by another entry.
 const TAKEOVER_TIME: Duration = Duration::from_secs(4);
 
-fn assert_cold_limit_held(world: &World) {
+fn assert_cold_limit_held(world: &Harness) {
     for engine in &world.engines {
         let record = engine.record();
         assert_eq!(record.crashes, 0, "a cold engine crashed");
@@ -37,7 +37,7 @@
 }
 
 /// Returns the dispatcher of a failure domain, and the domain's other entries.
-fn dispatcher_and_others(world: &World, domain: &str) -> (String, Vec<String>) {
+fn dispatcher_and_others(world: &Harness, domain: &str) -> (String, Vec<String>) {
     let dispatcher = world.fleet.dispatcher_of("tutor", domain).expect("a dispatcher");
     let entries = world.fleet.entries().into_iter().map(|(instance, _)| instance);
     let others = entries.filter(|i| *i != dispatcher && i.contains(domain)).collect();
@@ -50,7 +50,7 @@
 fn a_killed_dispatcher_is_replaced_and_the_backlog_served() {
     let mut world = start(&["north"], 3, &cold_engine()).with_documents();
     let (dispatcher, others) = dispatcher_and_others(&world, "north");
-    let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
+    let callers = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
     assert!(callers.wait_for(5));
     world.fleet.kill(&dispatcher);
     assert!(callers.wait_for(20), "the backlog is not served after the takeover");
@@ -65,10 +65,10 @@
 fn a_thawed_dispatcher_gives_no_slot_of_its_successor() {
     let world = start(&["north"], 3, &cold_engine()).with_documents();
     let (dispatcher, others) = dispatcher_and_others(&world, "north");
-    let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
+    let callers = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 5, 10);
     assert!(callers.wait_for(5));
     world.fleet.signal(&dispatcher, "STOP");
-    let replaced = wait_until(PATIENCE, || {
+    let replaced = wait_until(TIMEOUT, || {
         others.iter().any(|i| {
             let status = world.fleet.status(i);
             status.is_ok_and(|s| s.pools.iter().any(|p| p.service.as_str() == "tutor"))
@@ -77,7 +77,7 @@
     assert!(replaced, "no other entry takes over");
     assert!(callers.wait_for(10), "the successor does not serve");
     world.fleet.signal(&dispatcher, "CONT");
-    let thawed = Crowd::start("thawed", world.fleet.entry(&dispatcher), "birch", 2, 10);
+    let thawed = LoadGenerator::start("thawed", world.fleet.entry(&dispatcher), "birch", 2, 10);
     assert!(thawed.wait_for(5), "the thawed entry does not serve");
     assert!(callers.wait_for(10));
     check_answers(&callers.finish());
@@ -94,7 +94,7 @@
         let engine = engine_owned_by(owner, &names);
         let world = start_named(&["north"], 3, &cold_engine(), |_| engine.clone()).with_documents();
         let other = &names[(n + 1) % 3];
-        let callers = Crowd::start("kept", world.fleet.entry(other), "alder", 5, 10);
+        let callers = LoadGenerator::start("kept", world.fleet.entry(other), "alder", 5, 10);
         assert!(callers.wait_for(5));
         world.fleet.signal(owner, "STOP");
         thread::sleep(TAKEOVER_TIME);
@@ -112,8 +112,8 @@
 #[test]
 fn a_failure_domain_that_is_cut_off_serves_and_rejoins() {
     let world = start(&["north", "south"], 2, &cold_engine()).with_documents();
-    let north = Crowd::start("north", world.fleet.entry("entry-north-0"), "alder", 4, 10);
-    let south = Crowd::start("south", world.fleet.entry("entry-south-0"), "birch", 4, 10);
+    let north = LoadGenerator::start("north", world.fleet.entry("entry-north-0"), "alder", 4, 10);
+    let south = LoadGenerator::start("south", world.fleet.entry("entry-south-0"), "birch", 4, 10);
     assert!(north.wait_for(5) && south.wait_for(5));
     world.fleet.partition_domain("south", true);
     // Long enough for both sides to detect the partition: leases, sessions and the configuration's
@@ -123,7 +123,7 @@
     assert!(south.wait_for(10), "the south does not serve");
     world.fleet.partition_domain("south", false);
     let fresh = || world.fleet.status("entry-south-0").is_ok_and(|status| status.fresh);
-    assert!(wait_until(PATIENCE, fresh), "the south does not rejoin");
+    assert!(wait_until(TIMEOUT, fresh), "the south does not rejoin");
     assert!(north.wait_for(10) && south.wait_for(10));
     check_answers(&north.finish());
     check_answers(&south.finish());
@@ -136,8 +136,8 @@
 fn a_restarted_entry_serves_again_and_disturbs_nobody() {
     let mut world = start(&["north"], 3, &cold_engine()).with_documents();
     let (_, others) = dispatcher_and_others(&world, "north");
-    let unaffected = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
-    let affected = Crowd::start("lost", world.fleet.entry(&others[1]), "birch", 3, 10);
+    let unaffected = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 3, 10);
+    let affected = LoadGenerator::start("lost", world.fleet.entry(&others[1]), "birch", 3, 10);
     assert!(unaffected.wait_for(5) && affected.wait_for(5));
     world.fleet.kill(&others[1]);
     assert!(unaffected.wait_for(10));
@@ -159,9 +159,9 @@
     let small = document("tutor", "model-engine", &[("alder", 1), ("birch", 1)], rest);
     world.fleet.apply("tutor", 1, &small).expect("the smaller queue in force");
     let entry = world.fleet.entry("entry-north-0");
-    let flood = Crowd::start("flood", entry, "alder", 30, 10);
+    let flood = LoadGenerator::start("flood", entry, "alder", 30, 10);
     assert!(flood.wait_for(5));
-    let other = Crowd::start("other", entry, "birch", 2, 10);
+    let other = LoadGenerator::start("other", entry, "birch", 2, 10);
     assert!(other.wait_for(10), "the other organisation is not served");
     let answers = other.finish();
     assert!(answers.iter().all(|(asked, answer)| answer.is_complete_for(asked)));
@@ -180,9 +180,9 @@
 fn a_warm_engine_gone_cold_without_notice_does_not_fall_over() {
     let engine = EngineConfig { warm_slots: 4, ..EngineConfig::default() };
     let world = start(&["north"], 2, &engine).with_documents();
-    let callers = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 8, 15);
+    let callers = LoadGenerator::start("kept", world.fleet.entry("entry-north-0"), "alder", 8, 15);
     let warmed = || world.engines[0].is_warm() && world.engines[0].running() > 2;
-    assert!(wait_until(PATIENCE, warmed), "the engine is never given more than its cold limit");
+    assert!(wait_until(TIMEOUT, warmed), "the engine is never given more than its cold limit");
     world.engines[0].turn_cold();
     assert!(callers.wait_for(20));
     check_answers(&callers.finish());
@@ -196,7 +196,7 @@
 fn connections_silent_for_good_are_replaced() {
     let world = start(&["north"], 3, &cold_engine()).with_documents();
     let (dispatcher, others) = dispatcher_and_others(&world, "north");
-    let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
+    let callers = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
     assert!(callers.wait_for(5));
     for other in &others {
         world.fleet.link(other, &dispatcher).stall_open_connections();
@@ -204,7 +204,7 @@
     }
     assert!(callers.wait_for(15), "nothing is served after the connections went silent");
     let replaced = || world.fleet.metrics(&others[0]).contains("kingcup_peer_connections_replaced");
-    assert!(wait_until(PATIENCE, replaced), "no connection was replaced");
+    assert!(wait_until(TIMEOUT, replaced), "no connection was replaced");
     check_answers(&callers.finish());
     assert_cold_limit_held(&world);
 }
@@ -216,7 +216,7 @@
 fn a_dispatcher_killed_while_connections_are_silent_is_replaced() {
     let mut world = start(&["north"], 3, &cold_engine()).with_documents();
     let (dispatcher, others) = dispatcher_and_others(&world, "north");
-    let callers = Crowd::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
+    let callers = LoadGenerator::start("kept", world.fleet.entry(&others[0]), "alder", 4, 10);
     assert!(callers.wait_for(5));
     world.fleet.link(&others[0], &others[1]).stall_open_connections();
     world.fleet.link(&others[1], &others[0]).stall_open_connections();
@@ -245,7 +245,7 @@
         world.engines.push(engine);
     }
     let mut world = world.with_documents();
-    let callers = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
+    let callers = LoadGenerator::start("kept", world.fleet.entry("entry-north-0"), "alder", 4, 10);
     assert!(callers.wait_for(5));
     world.fleet.kill("entry-north-1");
     world.fleet.kill("entry-north-2");
@@ -255,7 +255,7 @@
             s.pools.iter().any(|p| p.service.as_str() == "tutor" && p.term.is_none())
         })
     };
-    assert!(wait_until(PATIENCE, alone), "the last entry does not start its static share");
+    assert!(wait_until(TIMEOUT, alone), "the last entry does not start its static share");
     assert!(callers.wait_for(10), "the last entry does not serve");
     check_answers(&callers.finish());
     assert_cold_limit_held(&world);
@@ -276,8 +276,8 @@
     );
     world.engines.push(second);
     let world = world.with_documents();
-    let callers = Crowd::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 20);
-    assert!(wait_until(PATIENCE, || world.engines.iter().all(|e| e.record().started.len() > 5)));
+    let callers = LoadGenerator::start("kept", world.fleet.entry("entry-north-0"), "alder", 6, 20);
+    assert!(wait_until(TIMEOUT, || world.engines.iter().all(|e| e.record().started.len() > 5)));
     let change = fresh_change_id().expect("a change id");
     let leave = Command::SetLeaving { change, upstream: "engine-north".into(), leaving: true };
     world.fleet.client().change(leave).expect("an accepted change");
@@ -309,9 +309,9 @@
         (asked, answer)
     });
     let silent = || engine.record().served.len() == 5;
-    assert!(wait_until(PATIENCE, silent), "the engine did not start to answer");
+    assert!(wait_until(TIMEOUT, silent), "the engine did not start to answer");
     assert!(
-        wait_until(PATIENCE, || engine.record().started.len() > 1),
+        wait_until(TIMEOUT, || engine.record().started.len() > 1),
         "the entry does not resume the answer"
     );
     engine.stall_after(0);
--- a/tests/testsuite/record/disks.rs
+++ b/tests/testsuite/record/disks.rs
@@ -19,7 +19,7 @@
 };
 
 use crate::support::{
-    PATIENCE, daemon, daemon_with_full_disk, orders_document, start, tutor_document,
+    TIMEOUT, daemon, daemon_with_full_disk, orders_document, start, tutor_document,
 };
 
 use super::{
@@ -43,19 +43,19 @@
     fleet.start_instance(lost).expect("a started instance");
     let add = Command::ChangeMembers { add: true, instance: lost.as_str().into(), replica: None };
     let added = || fleet.client().change(add.clone()).is_ok();
-    assert!(wait_until(PATIENCE, added), "the new replica is not added");
+    assert!(wait_until(TIMEOUT, added), "the new replica is not added");
     let has_vote =
         || members(&fleet).iter().filter(|m| m.voter && m.id.0.as_str() == lost).count() == 2;
-    assert!(wait_until(PATIENCE, has_vote), "the new replica does not become a voter");
+    assert!(wait_until(TIMEOUT, has_vote), "the new replica does not become a voter");
     let old = Some(kingcupgrade::protocol::consensus::INITIAL_REPLICA);
     let remove =
         Command::ChangeMembers { add: false, instance: lost.as_str().into(), replica: old };
     let removed = || fleet.client().change(remove.clone()).is_ok();
-    assert!(wait_until(PATIENCE, removed), "the old replica is not removed");
+    assert!(wait_until(TIMEOUT, removed), "the old replica is not removed");
     fleet.kill(second);
     let (_, index) = submit_until_accepted(&fleet, &small_change(2));
     assert!(index > before);
-    assert!(wait_until(PATIENCE, || commit_index(&fleet, lost) >= index), "the new replica lags");
+    assert!(wait_until(TIMEOUT, || commit_index(&fleet, lost) >= index), "the new replica lags");
 }
 
 // Guards against a backup of stale state: an operator takes it while the first control instance in
@@ -72,7 +72,7 @@
         let info = ops::backup(&fleet.client(), &folder);
         info.is_ok_and(|info| info.confirmed && info.index >= index)
     };
-    assert!(wait_until(PATIENCE, newest), "the backup lacks an accepted change");
+    assert!(wait_until(TIMEOUT, newest), "the backup lacks an accepted change");
     let held = fleet.client().ask_one(&"control-0".into(), &OperatorRequest::Backup);
     let is_stale = matches!(held, Ok(OperatorReply::Backup(held)) if held.index < index);
     assert!(is_stale, "the partitioned instance does not hold an older state");
@@ -96,13 +96,13 @@
     };
     let others: Vec<u64> = members(&fleet).iter().map(|m| m.id.1).collect();
     wipe(&mut fleet);
-    assert!(wait_until(PATIENCE, || fleet.client().change(add.clone()).is_ok()), "not added");
+    assert!(wait_until(TIMEOUT, || fleet.client().change(add.clone()).is_ok()), "not added");
     // Long enough to catch up and to be made a voter, if the leader did that.
     let caught_up = || {
         commit_index(&fleet, &lost) > 0
             && commit_index(&fleet, &lost) >= commit_index(&fleet, &leader)
     };
-    assert!(wait_until(PATIENCE, caught_up), "the new replica does not catch up");
+    assert!(wait_until(TIMEOUT, caught_up), "the new replica does not catch up");
     thread::sleep(Duration::from_millis(500));
     wipe(&mut fleet);
     submit_until_accepted(&fleet, &small_change(1));
@@ -117,14 +117,14 @@
             replica: Some(member.id.1),
         };
         let removed = || fleet.client().change(remove.clone()).is_ok();
-        assert!(wait_until(PATIENCE, removed), "{} is not removed", member.id);
+        assert!(wait_until(TIMEOUT, removed), "{} is not removed", member.id);
     }
-    assert!(wait_until(PATIENCE, || fleet.client().change(add.clone()).is_ok()), "not added again");
+    assert!(wait_until(TIMEOUT, || fleet.client().change(add.clone()).is_ok()), "not added again");
     let membership_is_complete = || {
         let has_vote = members(&fleet).iter().filter(|m| m.voter).count();
         has_vote == others.len() && members_of_lost(&fleet).len() == 1
     };
-    assert!(wait_until(PATIENCE, membership_is_complete), "{:?}", members(&fleet));
+    assert!(wait_until(TIMEOUT, membership_is_complete), "{:?}", members(&fleet));
 }
 
 // Guards against acknowledging entries that were not written because a control instance's disk is
@@ -154,7 +154,7 @@
     assert_eq!(failed(&fleet).map(|err| err.code), Some(Code::StorageFailed));
     let (_, index) = submit_until_accepted(&fleet, &small_change(1));
     for control in ["control-1", "control-2"] {
-        assert!(wait_until(PATIENCE, || commit_index(&fleet, control) >= index));
+        assert!(wait_until(TIMEOUT, || commit_index(&fleet, control) >= index));
     }
     fleet.kill("control-0");
     let held = verify(&fleet.data_folder("control-0")).expect("a sound data folder");
@@ -186,7 +186,7 @@
     assert!(index > 2_100, "too few changes for a snapshot: {index}");
     fleet.start_instance(&lagging).expect("a started instance");
     assert!(
-        wait_until(PATIENCE, || commit_index(&fleet, &lagging) >= index),
+        wait_until(TIMEOUT, || commit_index(&fleet, &lagging) >= index),
         "it does not catch up"
     );
     fleet.kill(&lagging);
@@ -220,7 +220,7 @@
         let status = world.fleet.status("entry-north-0");
         status.is_ok_and(|s| s.fresh && s.index > seen && s.revisions.get("tutor") == Some(&1))
     };
-    assert!(wait_until(PATIENCE, restored), "the restored document is not in force");
+    assert!(wait_until(TIMEOUT, restored), "the restored document is not in force");
     assert!(submit_until_accepted(&world.fleet, &small_change(1)).1 > seen);
     let damaged = world.fleet.data_folder("damaged");
     let mut bytes = fs::read(&backup).expect("a backup");
--- a/tests/testsuite/record/mod.rs
+++ b/tests/testsuite/record/mod.rs
@@ -28,7 +28,7 @@
     },
 };
 
-use crate::support::{PATIENCE, daemon, start, tutor_document};
+use crate::support::{TIMEOUT, daemon, start, tutor_document};
 
 fn small_change(n: usize) -> Command {
     Command::SetLeaving {
@@ -40,7 +40,7 @@
 
 fn submit_until_accepted(fleet: &Fleet, command: &Command) -> (u64, u64) {
     let mut answer = None;
-    let done = wait_until(PATIENCE, || {
+    let done = wait_until(TIMEOUT, || {
         answer = fleet.client().change(command.clone()).ok();
         answer.is_some()
     });
@@ -53,7 +53,7 @@
 
 fn wait_for_leader(fleet: &Fleet) -> String {
     let mut leader = None;
-    assert!(wait_until(PATIENCE, || {
+    assert!(wait_until(TIMEOUT, || {
         leader = fleet.leader();
         leader.is_some()
     }));
@@ -127,7 +127,7 @@
     }
     stop.store(true, Ordering::SeqCst);
     let deposits = depositor.join().expect("a depositor");
-    let runs = |key: &str| world.plains.iter().map(|plain| plain.runs_of(key)).sum::<u32>();
+    let runs = |key: &str| world.plain_services.iter().map(|plain| plain.runs_of(key)).sum::<u32>();
     assert!(deposits.iter().any(|(_, outcome, _)| outcome == "done"));
     for (key, outcome, only_not_run) in &deposits {
         assert!(runs(key) <= 1, "{key} ran {} times", runs(key));
@@ -136,7 +136,7 @@
     }
     for (control, _) in world.fleet.controls() {
         let caught_up = || commit_index(&world.fleet, &control) >= last.1;
-        assert!(wait_until(PATIENCE, caught_up), "{control} lacks an accepted change");
+        assert!(wait_until(TIMEOUT, caught_up), "{control} lacks an accepted change");
     }
 }
 
@@ -162,7 +162,7 @@
         .for_each(|(control, _)| world.fleet.start_instance(control).expect("a started instance"));
     let all_back =
         || controls.iter().all(|(control, _)| commit_index(&world.fleet, control) >= last.1);
-    assert!(wait_until(PATIENCE, all_back), "an accepted change is lost");
+    assert!(wait_until(TIMEOUT, all_back), "an accepted change is lost");
     assert!(submit_until_accepted(&world.fleet, &small_change(300)).1 > last.1);
 }
 
@@ -178,7 +178,7 @@
     let before = term(&leader);
     fleet.isolate(&isolated, true);
     let stale = || fleet.status(&isolated).is_ok_and(|status| !status.fresh);
-    assert!(wait_until(PATIENCE, stale), "it still confirms its stale state");
+    assert!(wait_until(TIMEOUT, stale), "it still confirms its stale state");
     let (_, index) = submit_until_accepted(&fleet, &small_change(1));
     thread::sleep(Duration::from_secs(3));
     assert!(commit_index(&fleet, &isolated) < index);
@@ -186,7 +186,7 @@
     let caught_up = || {
         commit_index(&fleet, &isolated) >= index && fleet.status(&isolated).is_ok_and(|s| s.fresh)
     };
-    assert!(wait_until(PATIENCE, caught_up), "it does not catch up");
+    assert!(wait_until(TIMEOUT, caught_up), "it does not catch up");
     assert_eq!(term(&leader), before, "its return deposed the leader");
 }
 
@@ -230,7 +230,7 @@
     fleet.link(&leader, unreachable).cut(false);
     fleet.link(&others[1], unreachable).cut(false);
     assert!(
-        wait_until(PATIENCE, || commit_index(&fleet, unreachable) >= index),
+        wait_until(TIMEOUT, || commit_index(&fleet, unreachable) >= index),
         "it does not catch up"
     );
 }
@@ -272,7 +272,7 @@
     let change = fresh_change_id().expect("a change id");
     let apply = Command::ApplyDocument { change, service: "tutor".into(), base: 1, text };
     let (revision, index) = submit_until_accepted(fleet, &apply);
-    assert!(wait_until(PATIENCE, || configuration_index(fleet, "entry-north-1") >= index));
+    assert!(wait_until(TIMEOUT, || configuration_index(fleet, "entry-north-1") >= index));
     fleet.kill("entry-north-0");
     for control in ["control-south", "control-west"] {
         fleet.link("entry-north-0", control).cut(true);
@@ -297,7 +297,7 @@
         let status = fleet.status("entry-north-0");
         status.is_ok_and(|status| status.revisions.get("tutor") == Some(&revision))
     };
-    assert!(wait_until(PATIENCE, newest), "it does not take its neighbour's newer document");
+    assert!(wait_until(TIMEOUT, newest), "it does not take its neighbour's newer document");
     thread::sleep(Duration::from_secs(2));
     assert!(newest(), "it went back to the old document");
     let status = fleet.status("entry-north-0").expect("a status");
@@ -320,10 +320,10 @@
         let status = fleet.status("entry-north-0");
         status.is_ok_and(|status| status.revisions.get("tutor") == Some(&wanted))
     };
-    assert!(wait_until(PATIENCE, || knows(revision - 1)), "it does not take the old document");
+    assert!(wait_until(TIMEOUT, || knows(revision - 1)), "it does not take the old document");
     fleet.link("entry-north-0", "entry-north-1").set_down(false);
     assert!(
-        wait_until(PATIENCE, || knows(revision)),
+        wait_until(TIMEOUT, || knows(revision)),
         "it does not take its neighbour's newer document"
     );
 }
