--- a/src/kingcupgrade/coordination/view.rs
+++ b/src/kingcupgrade/coordination/view.rs
@@ -39,7 +39,7 @@
     domains: BTreeMap<FailureDomain, Availability<FailureDomain>>,
     upstreams: BTreeMap<UpstreamName, Availability<UpstreamName>>,
     orders: BTreeMap<UpstreamName, UpstreamOrder>,
-    whole: Option<StoredConfiguration>,
+    configuration: Option<StoredConfiguration>,
     confirmed: Option<Millis>,
 }
 
@@ -60,8 +60,8 @@
     }
 
     /// Returns the complete configuration in force, as its operator sent it.
-    pub fn whole(&self) -> Option<&StoredConfiguration> {
-        self.whole.as_ref()
+    pub fn configuration(&self) -> Option<&StoredConfiguration> {
+        self.configuration.as_ref()
     }
 
     /// Returns the states of failure domains.
@@ -130,9 +130,9 @@
             changed |= merge_newer(&mut self.orders, &order.upstream, order, |o| o.index);
         }
         if let Some(configuration) = configuration
-            && self.whole.as_ref().is_none_or(|known| known.index < configuration.index)
+            && self.configuration.as_ref().is_none_or(|known| known.index < configuration.index)
         {
-            self.whole = Some(configuration.clone());
+            self.configuration = Some(configuration.clone());
             changed = true;
         }
         // A state that answers an earlier process of this instance leaves out what that process
@@ -176,7 +176,11 @@
             domains: self.domains.values().filter(|s| s.index > have).cloned().collect(),
             upstreams: self.upstreams.values().filter(|s| s.index > have).cloned().collect(),
             orders: self.orders.values().filter(|o| o.index > have).cloned().collect(),
-            configuration: self.whole.as_ref().filter(|whole| whole.index > have).cloned(),
+            configuration: self
+                .configuration
+                .as_ref()
+                .filter(|stored| stored.index > have)
+                .cloned(),
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -183,7 +183,7 @@
                 let out: BTreeSet<_> = out.collect();
                 let mut traffic = self.traffic.borrow_mut();
                 traffic.set_domains_out(out);
-                let Some(newest) = view.whole() else { return };
+                let Some(newest) = view.configuration() else { return };
                 let known = traffic.configuration().map_or(0, |known| known.version);
                 if newest.version <= known {
                     return;
--- a/tests/testsuite/isolation.rs
+++ b/tests/testsuite/isolation.rs
@@ -188,7 +188,7 @@
     /// Records for how long each entry has used an older version than an acknowledged one.
     fn record_staleness(&mut self) {
         for host in &self.hosts[CONTROLS..] {
-            let version = host.node.view().whole().map_or(0, |view| view.version);
+            let version = host.node.view().configuration().map_or(0, |view| view.version);
             let newer = self.acknowledged.iter().find(|(_, newer)| *newer > version);
             let staleness = newer.map_or(0, |(at, _)| self.now - at);
             self.max_staleness = self.max_staleness.max(staleness);
--- a/tests/testsuite/view.rs
+++ b/tests/testsuite/view.rs
@@ -37,7 +37,7 @@
     assert_eq!(view.index(), 116, "changes up to index 118 are taken as known");
     // The entry asks for changes after index 116 and receives them.
     view.merge(&state(116, 118, Some((80, 117))));
-    assert_eq!(view.whole().map(|whole| whole.version), Some(80));
+    assert_eq!(view.configuration().map(|stored| stored.version), Some(80));
     assert_eq!(view.index(), 118);
 }
 
