--- a/src/kingcupgrade/transport/daemon.rs
+++ b/src/kingcupgrade/transport/daemon.rs
@@ -146,7 +146,7 @@
                 gauge!("kingcup_open_requests").set(self.node.open_requests() as f64);
             }
             self.node.flush(self.clock.now(), unix_ms(), &mut out);
-            self.carry_out(out);
+            self.handle_outputs(out);
             if drain_begun && self.node.is_drained() {
                 // Other threads may still be sending the last responses and messages.
                 std::thread::sleep(Duration::from_millis(200));
@@ -175,11 +175,11 @@
         }
     }
 
-    /// Carries out a batch of outputs: first all writes to the disk, with one sync, then the rest.
+    /// Handles a batch of outputs: first all writes to the disk, with one sync, then the rest.
     ///
     /// A message may acknowledge any write of the batch. If it were sent before the sync, a crash
     /// could lose data that another instance already relies on.
-    fn carry_out(&mut self, outputs: Vec<Output>) {
+    fn handle_outputs(&mut self, outputs: Vec<Output>) {
         let mut writes = Vec::new();
         let mut rest = Vec::new();
         for output in outputs {
@@ -193,7 +193,7 @@
             rest.retain(|output| !depends_on_disk(output));
         }
         for output in rest {
-            self.carry_out_one(output);
+            self.handle_output(output);
         }
     }
 
@@ -207,12 +207,12 @@
         let mut out = Vec::new();
         self.handle(Input::StorageFailed(err), &mut out);
         for output in out {
-            self.carry_out_one(output);
+            self.handle_output(output);
         }
         false
     }
 
-    fn carry_out_one(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         match output {
             Output::Persist(_) => {}
             Output::Send(to, message) => self.peers.send(&to, &message),
--- a/src/kingcupgrade/transport/fleet.rs
+++ b/src/kingcupgrade/transport/fleet.rs
@@ -211,7 +211,7 @@
                 self.record_metrics(now);
             }
             self.node.flush(self.clock.now(), unix_ms(), &mut out);
-            self.carry_out(out);
+            self.handle_outputs(out);
         }
     }
 
@@ -257,11 +257,11 @@
         }
     }
 
-    /// Carries out a batch of outputs: first all writes to the disk, with one sync, then the rest.
+    /// Handles a batch of outputs: first all writes to the disk, with one sync, then the rest.
     ///
     /// A message may acknowledge any write of the batch. If it were sent before the sync, a crash
     /// could lose data that another instance already relies on.
-    fn carry_out(&mut self, outputs: Vec<FleetOutput>) {
+    fn handle_outputs(&mut self, outputs: Vec<FleetOutput>) {
         let mut writes = Vec::new();
         let mut rest = Vec::new();
         for output in outputs {
@@ -275,7 +275,7 @@
             rest.retain(|output| !depends_on_disk(output));
         }
         for output in rest {
-            self.carry_out_one(output);
+            self.handle_output(output);
         }
     }
 
@@ -290,11 +290,11 @@
         self.disk_retry = now + DISK_RETRY;
         let mut out = Vec::new();
         self.node.handle(now, unix_ms(), FleetInput::StorageFailed(err), &mut out);
-        out.into_iter().for_each(|output| self.carry_out_one(output));
+        out.into_iter().for_each(|output| self.handle_output(output));
         false
     }
 
-    fn carry_out_one(&mut self, output: FleetOutput) {
+    fn handle_output(&mut self, output: FleetOutput) {
         match output {
             FleetOutput::Persist(_) => {}
             FleetOutput::Send(to, message) => self.peers.send(&to, &message),
