--- a/src/kingcupgrade/coordination/node/mod.rs
+++ b/src/kingcupgrade/coordination/node/mod.rs
@@ -202,7 +202,7 @@
         claimer: u64,
         control: Option<ControlMachine>,
     ) -> Node {
-        let own = settings.own().clone();
+        let own = settings.own_peer().clone();
         let instance = own.instance.clone();
         let domain = own.failure_domain.clone();
         let is_entry = own.has_role(Role::Entry);
--- a/src/kingcupgrade/core/settings.rs
+++ b/src/kingcupgrade/core/settings.rs
@@ -110,7 +110,7 @@
     /// # Panics
     ///
     /// Panics if the settings were not validated and do not list the instance.
-    pub fn own(&self) -> &Peer {
+    pub fn own_peer(&self) -> &Peer {
         self.peer(&self.instance).expect("validated settings list the instance in `peers`")
     }
 
@@ -126,7 +126,7 @@
 
     fn check(&self) -> Result<(), String> {
         self.check_peers()?;
-        let own = self.own();
+        let own = self.own_peer();
         if own.has_role(Role::Entry) && self.caller_address.is_none() {
             return Err("caller_address: required for an entry".to_owned());
         }
--- a/src/kingcupgrade/transport/daemon.rs
+++ b/src/kingcupgrade/transport/daemon.rs
@@ -60,7 +60,7 @@
     let view: SharedView = Arc::new(RwLock::new(Arc::new(View::default())));
     let peers = Peers::start(PeerConfig::of(&settings, tx.clone()))?;
     let watched = WatchedServices::default();
-    let own = settings.own();
+    let own = settings.own_peer();
     let url = settings.platform_list.clone();
     platform::start(url, own.failure_domain.clone(), watched.clone(), tx.clone())?;
     callers::start(&settings, view.clone(), tx.clone())?;
@@ -89,7 +89,8 @@
     settings: &Settings,
     clock: Clock,
 ) -> anyhow::Result<(Option<Disk>, Option<ControlMachine>)> {
-    let Some(folder) = settings.data.as_ref().filter(|_| settings.own().has_role(Role::Control))
+    let Some(folder) =
+        settings.data.as_ref().filter(|_| settings.own_peer().has_role(Role::Control))
     else {
         return Ok((None, None));
     };
--- a/src/kingcupgrade/transport/peers.rs
+++ b/src/kingcupgrade/transport/peers.rs
@@ -113,7 +113,7 @@
         };
         PeerConfig {
             instance: settings.instance.clone(),
-            address: settings.own().address,
+            address: settings.own_peer().address,
             fleet_key: settings.fleet_key.as_str().into(),
             addresses: Arc::new(move |instance| listed.peer(instance).map(|peer| peer.address)),
             sink: Arc::new(sink),
--- a/tests/testsuite/input.rs
+++ b/tests/testsuite/input.rs
@@ -140,7 +140,7 @@
     let text =
         std::fs::read_to_string(harness.fleet.settings_path("entry-north-0")).expect("settings");
     let mut settings: Settings = Settings::parse(&text).expect("valid settings");
-    let target = settings.own().address;
+    let target = settings.own_peer().address;
     for peer in &mut settings.peers {
         peer.address =
             if peer.instance.as_str() == "entry-north-0" { target } else { free_address() };
--- a/tests/testsuite/peers.rs
+++ b/tests/testsuite/peers.rs
@@ -44,7 +44,7 @@
     let harness = start(&["north"], 1, &EngineConfig::default()).with_documents();
     let path = harness.fleet.settings_path("entry-north-0");
     let text = std::fs::read_to_string(path).expect("settings");
-    let address = Settings::parse(&text).expect("valid settings").own().address;
+    let address = Settings::parse(&text).expect("valid settings").own_peer().address;
     let memory = || harness.fleet.usage("entry-north-0").expect("a running entry").memory;
     let before = memory();
     let connections: Vec<TcpStream> = (0..CONNECTIONS).map(|_| connect(address)).collect();
