--- a/src/kingcupgrade/coordination/consensus/members.rs
+++ b/src/kingcupgrade/coordination/consensus/members.rs
@@ -155,20 +155,20 @@
     /// Checks that a majority of the voters in `members` is reachable.
     pub(super) fn check_majority(&self, now: Millis, members: &[Member]) -> Result<(), CodedError> {
         let voters = members.iter().filter(|member| member.voter).count();
-        let heard = self.heard_voters(now, members);
-        if heard < voters / 2 + 1 {
+        let reachable = self.count_reachable_voters(now, members);
+        if reachable < voters / 2 + 1 {
             return Err(refused(format!(
-                "only {heard} of the {voters} voters that would remain are reachable"
+                "only {reachable} of the {voters} voters that would remain are reachable"
             )));
         }
         Ok(())
     }
 
-    fn heard_voters(&self, now: Millis, members: &[Member]) -> usize {
+    fn count_reachable_voters(&self, now: Millis, members: &[Member]) -> usize {
         let Role::Leader { progress, .. } = &self.role else { return 0 };
-        let is_heard = |id: &ReplicaId| {
-            // A new leader has not heard any other voter yet, though `acked` is already set. If it
-            // counted a lost voter as heard, it would promote a new voter beside it.
+        let is_reachable = |id: &ReplicaId| {
+            // A new leader has not heard from any other voter yet, though `acked` is already set. If it
+            // counted a lost voter as reachable, it would promote a new voter beside it.
             let is_recent = |p: &Progress| {
                 p.has_answered
                     && now.since(p.acked) < ELECTION_MIN
@@ -176,7 +176,7 @@
             };
             *id == self.id || progress.get(id).is_some_and(is_recent)
         };
-        members.iter().filter(|member| member.voter && is_heard(&member.id)).count()
+        members.iter().filter(|member| member.voter && is_reachable(&member.id)).count()
     }
 
     /// Returns whether the instance of a replica has announced another replica since `heard`. It
@@ -196,8 +196,8 @@
     /// therefore waits for the removal; until then, losing the new replica does no harm.
     fn tolerates_new_voter(&self, now: Millis) -> bool {
         let voters = self.voters().len();
-        let heard = self.heard_voters(now, self.members());
-        heard == voters || heard > voters.div_ceil(2)
+        let reachable = self.count_reachable_voters(now, self.members());
+        reachable == voters || reachable > voters.div_ceil(2)
     }
 
     /// Promotes a learner that has caught up to a voter.
