--- a/src/kingcupgrade/coordination/consensus/members.rs
+++ b/src/kingcupgrade/coordination/consensus/members.rs
@@ -167,8 +167,8 @@
     fn count_reachable_voters(&self, now: Millis, members: &[Member]) -> usize {
         let Role::Leader { progress, .. } = &self.role else { return 0 };
         let is_reachable = |id: &ReplicaId| {
-            // A new leader has not heard from any other voter yet, though `acked` is already set. If it
-            // counted a lost voter as reachable, it would promote a new voter beside it.
+            // A new leader has not heard from any other voter yet, though `acked` is already set.
+            // If it counted a lost voter as reachable, it would promote a new voter beside it.
             let is_recent = |p: &Progress| {
                 p.has_answered
                     && now.since(p.acked) < ELECTION_MIN
