--- a/crates/kingcup-load/src/decisions.rs
+++ b/crates/kingcup-load/src/decisions.rs
@@ -84,7 +84,7 @@
     let report = LoadReport {
         loads: loads.collect(),
         served: tokens(40_000.0),
-        asked: tokens(60_000.0),
+        requested: tokens(60_000.0),
         refused: tokens(2_000.0),
         ..LoadReport::default()
     };
--- a/src/kingcupgrade/coordination/fleet/load_exchange.rs
+++ b/src/kingcupgrade/coordination/fleet/load_exchange.rs
@@ -280,7 +280,7 @@
 struct Sum {
     loads: BTreeMap<UpstreamName, [i64; 3]>,
     served: BTreeMap<Organisation, f64>,
-    asked: BTreeMap<Organisation, f64>,
+    requested: BTreeMap<Organisation, f64>,
     refused: BTreeMap<Organisation, f64>,
 }
 
@@ -294,7 +294,7 @@
         }
         let all = [
             (&mut self.served, &report.served),
-            (&mut self.asked, &report.asked),
+            (&mut self.requested, &report.requested),
             (&mut self.refused, &report.refused),
         ];
         for (sums, reported) in all {
@@ -318,7 +318,7 @@
             number: 0,
             loads: loads.collect(),
             served: tokens(&self.served),
-            asked: tokens(&self.asked),
+            requested: tokens(&self.requested),
             kept: Vec::new(),
             refused: tokens(&self.refused),
         }
--- a/src/kingcupgrade/coordination/traffic/mod.rs
+++ b/src/kingcupgrade/coordination/traffic/mod.rs
@@ -231,7 +231,7 @@
             number: 0,
             loads: busy.map(|(name, upstream)| (name.clone(), upstream.own.clone())).collect(),
             served: self.shares.served(now),
-            asked: self.shares.asked(now),
+            requested: self.shares.requested(now),
             kept: Vec::new(),
             refused: self.shares.refused(now),
         }
--- a/src/kingcupgrade/coordination/traffic/peer_reports.rs
+++ b/src/kingcupgrade/coordination/traffic/peer_reports.rs
@@ -19,8 +19,8 @@
 /// the time constants of the shares.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerUsage {
-    /// Tokens asked for.
-    pub asked: f64,
+    /// Tokens requested.
+    pub requested: f64,
     /// Tokens served.
     pub served: f64,
     /// Tokens refused, with the shorter time constant of refusals.
@@ -83,8 +83,8 @@
     }
 
     fn count(&mut self, report: &LoadReport, sign: f64) {
-        for (organisation, asked) in &report.asked {
-            self.usage_mut(organisation).asked += sign * f64::from(*asked);
+        for (organisation, requested) in &report.requested {
+            self.usage_mut(organisation).requested += sign * f64::from(*requested);
         }
         for (organisation, served) in &report.served {
             self.usage_mut(organisation).served += sign * f64::from(*served);
--- a/src/kingcupgrade/coordination/traffic/queue.rs
+++ b/src/kingcupgrade/coordination/traffic/queue.rs
@@ -62,7 +62,7 @@
             true => ShareStatus::Within,
             false => self.shares.status(now, &demand.organisation, work),
         };
-        self.shares.on_asked(now, &demand.organisation, work);
+        self.shares.on_requested(now, &demand.organisation, work);
         match self.start(now, &demand, status) {
             Ok(verdict) => Some(verdict),
             Err(PlacementError::NoUpstream) => {
@@ -89,7 +89,7 @@
     /// organisations that take its share at other entries.
     pub fn refuse_overloaded(&mut self, now: Millis, demand: &Demand) -> Millis {
         let work = demand.work();
-        self.shares.on_asked(now, &demand.organisation, work);
+        self.shares.on_requested(now, &demand.organisation, work);
         self.shares.on_refused(now, &demand.organisation, work);
         RETRY_AFTER_OVERLOAD
     }
--- a/src/kingcupgrade/coordination/traffic/shares.rs
+++ b/src/kingcupgrade/coordination/traffic/shares.rs
@@ -2,8 +2,8 @@
 //!
 //! Shares are max-min fair: an organisation that asks for less than an even share gets all that it
 //! asks for, and what it leaves is divided among those that ask for more. Shares are counted in
-//! tokens, with a time constant of a few seconds, over all entries: each entry tells the others
-//! what its callers asked for and what they were given.
+//! tokens, with a time constant of a few seconds, over all entries: each entry reports to the
+//! others what its callers requested and what they were given.
 
 use std::collections::BTreeMap;
 
@@ -21,9 +21,9 @@
 /// two stays below it.
 const MAX_LEAD: f64 = 1.2;
 /// The capacity that is assumed for even shares, as a multiple of what was served recently. When
-/// upstreams are lost, the promised capacity is not there, and an even share of it would let
-/// whoever comes first take everything. Above 1, so that the level rises again once the upstreams
-/// are back.
+/// upstreams are lost, the promised capacity is not available, and an even share of it would let
+/// the organisation that sends first take everything. Above 1, so that the level rises again once
+/// the upstreams are back.
 const CAPACITY_GROWTH: f64 = 1.15;
 /// The time constant of the sums of refused tokens: an organisation whose refusals are older than
 /// this, and that is served now, doesn't limit the others.
@@ -49,28 +49,29 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct OrganisationUsage {
-    /// Tokens asked of all entries.
-    asked: f64,
+    /// Tokens requested from all entries.
+    requested: f64,
     /// Tokens served by the other entries, as last reported.
     served_by_peers: f64,
-    /// Tokens asked of the other entries for each token asked of this one.
+    /// Tokens requested from the other entries for each token requested from this one.
     peer_demand_ratio: f64,
     /// Tokens refused by all entries.
     refused: f64,
 }
 
 impl OrganisationUsage {
-    /// Returns whether a considerable fraction of what is asked for is being refused.
+    /// Returns whether a considerable fraction of what is requested is being refused.
     fn is_refused(&self) -> bool {
-        let asked = self.asked * REFUSED_TIME_CONSTANT.0 as f64 / SHARE_TIME_CONSTANT.0 as f64;
-        self.refused > asked * MIN_REFUSED_FRACTION
+        let requested =
+            self.requested * REFUSED_TIME_CONSTANT.0 as f64 / SHARE_TIME_CONSTANT.0 as f64;
+        self.refused > requested * MIN_REFUSED_FRACTION
     }
 }
 
 /// The demand and usage of all organisations, as one entry knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
-    asked: BTreeMap<Organisation, DecayingSum>,
+    requested: BTreeMap<Organisation, DecayingSum>,
     served: BTreeMap<Organisation, DecayingSum>,
     /// What all entries served beyond the promised level while no organisation was backlogged.
     spare: BTreeMap<Organisation, DecayingSum>,
@@ -96,8 +97,8 @@
 
 impl Shares {
     /// Adds the work that a request asks for.
-    pub fn on_asked(&mut self, now: Millis, organisation: &Organisation, work: f64) {
-        add_work(&mut self.asked, now, organisation, work, SHARE_TIME_CONSTANT);
+    pub fn on_requested(&mut self, now: Millis, organisation: &Organisation, work: f64) {
+        add_work(&mut self.requested, now, organisation, work, SHARE_TIME_CONSTANT);
     }
 
     /// Adds work that is refused for lack of capacity or of a share.
@@ -130,17 +131,17 @@
         }
         self.last_refresh = Some(now);
         self.usage.clear();
-        for (organisation, asked) in &self.asked {
+        for (organisation, requested) in &self.requested {
             let usage = self.usage.entry(organisation.clone()).or_default();
-            usage.asked = asked.get(now, SHARE_TIME_CONSTANT);
+            usage.requested = requested.get(now, SHARE_TIME_CONSTANT);
         }
         for (organisation, peer_usage) in peers {
             let usage = self.usage.entry(organisation.clone()).or_default();
-            let ratio = peer_usage.asked.max(0.0) / usage.asked.max(1.0);
-            // The ratio is capped: if little is asked of this entry, one request says little about
-            // the other entries.
+            let ratio = peer_usage.requested.max(0.0) / usage.requested.max(1.0);
+            // The ratio is capped: if little is requested from this entry, one request says
+            // little about the other entries.
             usage.peer_demand_ratio = ratio.min(self.peers as f64);
-            usage.asked += peer_usage.asked;
+            usage.requested += peer_usage.requested;
             usage.served_by_peers += peer_usage.served;
             usage.refused += peer_usage.refused;
         }
@@ -148,19 +149,20 @@
             let usage = self.usage.entry(organisation.clone()).or_default();
             usage.refused += refused.get(now, REFUSED_TIME_CONSTANT);
         }
-        let asked: Vec<f64> = self.usage.values().map(|usage| usage.asked).collect();
+        let requested: Vec<f64> = self.usage.values().map(|usage| usage.requested).collect();
         let promised = capacity * SHARE_TIME_CONSTANT.0 as f64 / 1000.0;
-        self.promised_level = max_min_level(asked.clone(), promised);
+        self.promised_level = max_min_level(requested.clone(), promised);
         let served: f64 = self
             .usage
             .iter()
             .map(|(organisation, usage)| self.total_served(now, organisation, usage))
             .sum();
-        self.even_level = self.promised_level.min(max_min_level(asked, served * CAPACITY_GROWTH));
+        self.even_level =
+            self.promised_level.min(max_min_level(requested, served * CAPACITY_GROWTH));
         let backlogged = self.usage.iter().filter_map(|(organisation, usage)| {
             let served = self.total_served(now, organisation, usage);
-            let is_limited = usage.asked > self.promised_level;
-            let is_short = usage.asked > served * BACKLOG_RATIO;
+            let is_limited = usage.requested > self.promised_level;
+            let is_short = usage.requested > served * BACKLOG_RATIO;
             let is_backlogged = is_limited && is_short && usage.is_refused();
             is_backlogged.then(|| self.charged(now, organisation, usage))
         });
@@ -192,12 +194,12 @@
             + self.estimated_peer_served(now, organisation, usage);
         // Half of the request counts, so that a request larger than a share isn't refused forever.
         let served = before + work / 2.0;
-        if usage.asked <= self.even_level || served <= self.even_level {
+        if usage.requested <= self.even_level || served <= self.even_level {
             return ShareStatus::Within;
         }
         // The request itself doesn't count: the organisation that got least is never refused for
         // the size of a request.
-        if usage.asked <= self.promised_level || before <= self.spare_level {
+        if usage.requested <= self.promised_level || before <= self.spare_level {
             ShareStatus::Spare
         } else {
             ShareStatus::Over
@@ -236,8 +238,8 @@
     /// are asked for.
     ///
     /// All entries know the same outdated sums. Without the estimate all of them would find
-    /// capacity in a share at the same moment, and would serve everything asked of them until they
-    /// hear of each other.
+    /// capacity in a share at the same moment, and would serve everything requested until they
+    /// receive each other's next reports.
     fn estimated_peer_served(
         &self,
         now: Millis,
@@ -254,9 +256,9 @@
         self.served.get(organisation).map_or(0.0, |served| served.get(now, SHARE_TIME_CONSTANT))
     }
 
-    /// Returns the tokens that each organisation recently asked of this entry.
-    pub fn asked(&self, now: Millis) -> Vec<(Organisation, f32)> {
-        current_sums(&self.asked, now, SHARE_TIME_CONSTANT)
+    /// Returns the tokens that each organisation recently requested from this entry.
+    pub fn requested(&self, now: Millis) -> Vec<(Organisation, f32)> {
+        current_sums(&self.requested, now, SHARE_TIME_CONSTANT)
     }
 
     /// Returns the tokens that this entry recently served to each organisation.
@@ -300,11 +302,11 @@
 
 /// Returns the max-min level: the amount up to which each demand is met so that all together get
 /// `capacity`; infinite if they ask for less than that.
-fn max_min_level(mut asked: Vec<f64>, capacity: f64) -> f64 {
-    asked.sort_by(f64::total_cmp);
+fn max_min_level(mut demands: Vec<f64>, capacity: f64) -> f64 {
+    demands.sort_by(f64::total_cmp);
     let mut capacity_left = capacity;
-    let mut remaining = asked.len();
-    for amount in asked {
+    let mut remaining = demands.len();
+    for amount in demands {
         let even = capacity_left / remaining as f64;
         if amount > even {
             return even;
--- a/src/kingcupgrade/protocol/fleet.rs
+++ b/src/kingcupgrade/protocol/fleet.rs
@@ -105,7 +105,7 @@
     pub served: Vec<(Organisation, f32)>,
     /// Tokens recently requested by each organisation, as a decaying count.
     #[serde(rename = "a")]
-    pub asked: Vec<(Organisation, f32)>,
+    pub requested: Vec<(Organisation, f32)>,
     /// Shared parts of prompts that upstreams have cached since the previous report.
     #[serde(rename = "k", default)]
     pub kept: Vec<CachedParts>,
--- a/tests/testsuite/fleet_load.rs
+++ b/tests/testsuite/fleet_load.rs
@@ -240,7 +240,7 @@
 struct Sum {
     loads: BTreeMap<UpstreamName, Load>,
     served: BTreeMap<Organisation, f32>,
-    asked: BTreeMap<Organisation, f32>,
+    requested: BTreeMap<Organisation, f32>,
     refused: BTreeMap<Organisation, f32>,
 }
 
@@ -255,7 +255,7 @@
         }
         let tokens = [
             (&mut sum.served, &report.served),
-            (&mut sum.asked, &report.asked),
+            (&mut sum.requested, &report.requested),
             (&mut sum.refused, &report.refused),
         ];
         for (total, reported) in tokens {
@@ -284,7 +284,7 @@
         LoadReport {
             loads: loads.into_iter().collect(),
             served: tokens(&self.served, &report.served),
-            asked: tokens(&self.asked, &report.asked),
+            requested: tokens(&self.requested, &report.requested),
             refused: tokens(&self.refused, &report.refused),
             ..LoadReport::default()
         }
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -21,7 +21,10 @@
     let mut traffic = traffic(CAPACITY, 4);
     let report = LoadReport {
         served: counts.iter().map(|(name, served, _, _)| tokens_of(name, *served)).collect(),
-        asked: counts.iter().map(|(name, _, asked, _)| tokens_of(name, *asked)).collect(),
+        requested: counts
+            .iter()
+            .map(|(name, _, requested, _)| tokens_of(name, *requested))
+            .collect(),
         refused: counts.iter().map(|(name, _, _, refused)| tokens_of(name, *refused)).collect(),
         ..LoadReport::default()
     };
--- a/tests/testsuite/traffic.rs
+++ b/tests/testsuite/traffic.rs
@@ -352,7 +352,7 @@
     let tokens_of = |organisation: &str, tokens: f32| (Organisation::from(organisation), tokens);
     let report = LoadReport {
         served: vec![tokens_of("ahead", 900_000.0), tokens_of("behind", 100_000.0)],
-        asked: vec![tokens_of("ahead", 2_000_000.0), tokens_of("behind", 2_000_000.0)],
+        requested: vec![tokens_of("ahead", 2_000_000.0), tokens_of("behind", 2_000_000.0)],
         refused: vec![tokens_of("ahead", 200_000.0), tokens_of("behind", 200_000.0)],
         ..LoadReport::default()
     };
@@ -374,7 +374,7 @@
     let tokens_of = |organisation: &str, tokens: f32| (Organisation::from(organisation), tokens);
     let report = LoadReport {
         served: vec![tokens_of("ahead", 900_000.0), tokens_of("behind", 200_000.0)],
-        asked: vec![tokens_of("ahead", 2_000_000.0), tokens_of("behind", 2_000_000.0)],
+        requested: vec![tokens_of("ahead", 2_000_000.0), tokens_of("behind", 2_000_000.0)],
         ..LoadReport::default()
     };
     traffic.on_report(Millis(100), "e-127.0.0.9".into(), report);
