--- a/src/kingcupgrade/transport/control_server.rs
+++ b/src/kingcupgrade/transport/control_server.rs
@@ -30,14 +30,14 @@
     util::{log, random},
 };
 
-/// The time-out of a change or a read. Operators try another instance if they have no response
+/// The timeout of a change or a read. Operators try another instance if they have no response
 /// after a second, so a later response would reach nobody.
 const RECORD_TIMEOUT: Millis = Millis(900);
 /// The maximum length of a configuration in bytes. An entry, which has 160 MB of memory, holds the
 /// configuration both as text and decoded, and for a moment also the next one while it takes
 /// effect.
 const MAX_CONFIGURATION_LEN: usize = 4 << 20;
-/// The time-out for reading a request head or body.
+/// The timeout for reading a request head or body.
 const READ_TIMEOUT: Millis = Millis(10_000);
 /// The pause after a failed accept.
 const ACCEPT_PAUSE: Millis = Millis(50);
--- a/src/kingcupgrade/transport/gateway/adapter.rs
+++ b/src/kingcupgrade/transport/gateway/adapter.rs
@@ -22,7 +22,7 @@
     pub request_id: Option<String>,
     /// The caller's API key.
     pub key: Option<String>,
-    /// The caller's time-out for the request.
+    /// The caller's timeout for the request.
     pub timeout: Option<Millis>,
     /// The parts of the prompt.
     pub prompt: Vec<PromptPart>,
--- a/src/kingcupgrade/transport/gateway/listing.rs
+++ b/src/kingcupgrade/transport/gateway/listing.rs
@@ -32,7 +32,7 @@
 /// A list that took longer to read is not sent to other entries: the process was suspended or
 /// starved of processor time meanwhile, and the list may be older than theirs.
 const MAX_READ_TIME: Millis = Millis(500);
-/// The time-out for reading a page.
+/// The timeout for reading a page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(800);
 /// The maximum number of pages read at a time.
 const MAX_PAGES: usize = 1_000;
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -100,7 +100,7 @@
         *self.drain.borrow()
     }
 
-    /// Returns whether a request with this time-out is certain to end before the process does.
+    /// Returns whether a request with this timeout is certain to end before the process does.
     fn has_time_for(&self, timeout: Millis) -> bool {
         self.shutdown.get().has_time_for(self.now(), timeout)
     }
--- a/src/kingcupgrade/transport/gateway/pool.rs
+++ b/src/kingcupgrade/transport/gateway/pool.rs
@@ -24,7 +24,7 @@
 
 use crate::core::UpstreamName;
 
-/// The time-out for connecting. Within a region connecting takes a few milliseconds. A lost SYN is
+/// The timeout for connecting. Within a region connecting takes a few milliseconds. A lost SYN is
 /// retransmitted only after a second, by when another upstream would have answered long ago.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// The maximum time for which a connection may be idle and still be reused; less if the upstream's
--- a/src/kingcupgrade/transport/gateway/request/exchange.rs
+++ b/src/kingcupgrade/transport/gateway/request/exchange.rs
@@ -25,7 +25,7 @@
 const MAX_STALE: usize = 3;
 /// The maximum length in bytes of a rejection that is read so that its connection can be reused.
 const MAX_REJECTION_LEN: usize = 64 << 10;
-/// The time-out for reading a rejection.
+/// The timeout for reading a rejection.
 const REJECTION_TIMEOUT: Millis = Millis(100);
 
 /// The result of one attempt to send a request.
--- a/src/kingcupgrade/transport/gateway/request/mod.rs
+++ b/src/kingcupgrade/transport/gateway/request/mod.rs
@@ -31,7 +31,7 @@
     },
 };
 
-/// The time-out of a request whose caller states none.
+/// The timeout of a request whose caller states none.
 const DEFAULT_TIMEOUT: Millis = Millis(30_000);
 /// The number of upstreams to which sending may fail before any byte is written; then the request
 /// is refused.
--- a/src/kingcupgrade/transport/gateway/serve.rs
+++ b/src/kingcupgrade/transport/gateway/serve.rs
@@ -26,7 +26,7 @@
 
 /// The size of the read buffer of a caller's connection; larger than any permitted request head.
 const MAX_BUF_LEN: usize = 64 << 10;
-/// The time-out for an idle connection and for reading a request head or body until a
+/// The timeout for an idle connection and for reading a request head or body until a
 /// configuration is known.
 const DEFAULT_IDLE_TIMEOUT: Millis = Millis(30_000);
 /// The maximum length of a request body until a configuration is known; such a request is refused
@@ -36,9 +36,9 @@
 /// response. Callers keep idle connections for many seconds, and once all sockets are in use no new
 /// caller could connect.
 const KEEP_ALIVE_FRACTION: f64 = 0.4;
-/// Idle connections are kept open this much longer than the time-out that callers know of.
+/// Idle connections are kept open this much longer than the timeout that callers know of.
 const IDLE_SLACK: Millis = Millis(1_000);
-/// The time-out for the head of a request on a connection that is accepted while idle connections
+/// The timeout for the head of a request on a connection that is accepted while idle connections
 /// are being closed; callers send a request as soon as they have connected.
 const DRAIN_HEAD_TIMEOUT: Millis = Millis(500);
 /// The pause after a failed accept: without it, accepting would fail again at once for as long as
--- a/src/kingcupgrade/transport/http/connection.rs
+++ b/src/kingcupgrade/transport/http/connection.rs
@@ -66,7 +66,7 @@
     let mut sink = tokio::io::sink();
     let mut rest = stream.take(LINGER_LEN);
     let reading = tokio::io::copy(&mut rest, &mut sink);
-    // The bytes are discarded, so that neither an error nor a time-out matters.
+    // The bytes are discarded, so that neither an error nor a timeout matters.
     let _ = time::timeout(LINGER, reading).await;
 }
 
--- a/src/kingcupgrade/transport/http/request.rs
+++ b/src/kingcupgrade/transport/http/request.rs
@@ -12,7 +12,7 @@
 use super::response::{ResponseBody, ResponseStream, ServerResponse};
 use crate::core::{Code, code::CodedError};
 
-/// The time-out for reading a request body.
+/// The timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A caller's request.
--- a/src/kingcupgrade/transport/metrics.rs
+++ b/src/kingcupgrade/transport/metrics.rs
@@ -26,7 +26,7 @@
 /// A gauge that has not been set for this long is removed: upstreams get a new name at each start,
 /// so that their gauges would accumulate.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The time-out for reading the head of a scrape request.
+/// The timeout for reading the head of a scrape request.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// The pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(200);
--- a/src/kingcupgrade/transport/operators.rs
+++ b/src/kingcupgrade/transport/operators.rs
@@ -21,7 +21,7 @@
     protocol::operator::{OPERATOR_PATH, OperatorReply, OperatorRequest},
 };
 
-/// The time-out of an operator's request.
+/// The timeout of an operator's request.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(12);
 /// The maximum length of a request body, in bytes.
 const MAX_REQUEST_LEN: usize = 8 << 20;
--- a/src/kingcupgrade/transport/peers.rs
+++ b/src/kingcupgrade/transport/peers.rs
@@ -38,10 +38,10 @@
 
 /// The maximum number of messages queued for a peer.
 const QUEUE_LEN: usize = 4_096;
-/// The time-out for connecting. A machine without power doesn't respond at all, and once it is back
+/// The timeout for connecting. A machine without power doesn't respond at all, and once it is back
 /// only a new attempt reaches it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The time-out for connecting and the handshake together.
+/// The timeout for connecting and the handshake together.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The pause after a failed dial.
 const DIAL_PAUSE: Duration = Duration::from_millis(200);
--- a/src/kingcupgrade/transport/platform.rs
+++ b/src/kingcupgrade/transport/platform.rs
@@ -26,7 +26,7 @@
 
 /// The pause between two polls of the list.
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
-/// The time-out of a request to the platform.
+/// The timeout of a request to the platform.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// An upstream, as listed by the platform.
--- a/src/kingcupgrade/transport/upstream.rs
+++ b/src/kingcupgrade/transport/upstream.rs
@@ -13,7 +13,7 @@
 
 use crate::coordination::entry::AttemptEnd;
 
-/// The time-out for connecting.
+/// The timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The size of an attempt's input and output buffers, in bytes. ureq's defaults are sixteen times
 /// as large; with a thousand open requests they would take more memory than everything else
@@ -39,7 +39,7 @@
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// The time-out for each read of the response.
+    /// The timeout for each read of the response.
     pub read_timeout: Duration,
 }
 
