--- a/src/kingcupgrade/coordination/decision.rs
+++ b/src/kingcupgrade/coordination/decision.rs
@@ -101,7 +101,7 @@
         service: Service,
         /// The upstream.
         upstream: UpstreamName,
-        /// The fencing token.
+        /// The fencing number.
         number: u64,
         /// The stage.
         stage: &'static str,
--- a/src/kingcupgrade/coordination/orders.rs
+++ b/src/kingcupgrade/coordination/orders.rs
@@ -1,10 +1,10 @@
 //! Reconciles the engines of one pool with the orders in the record.
 //!
 //! Only the holder of the pool's lease sends orders, and only while the rest of its lease is longer
-//! than an attempt can take. That is not enough for an engine that ignores fencing tokens: an order
-//! of an earlier holder may be delayed in the network and arrive after a later one. The setups of
-//! the engines are therefore polled, and an engine whose setup differs from its order is sent the
-//! order again. An engine that checks fencing tokens refuses the delayed order by itself.
+//! than an attempt can take. That is not enough for an engine that ignores fencing numbers: an
+//! order of an earlier holder may be delayed in the network and arrive after a later one. The setups
+//! of the engines are therefore polled, and an engine whose setup differs from its order is sent the
+//! order again. An engine that checks fencing numbers refuses the delayed order and is not affected.
 //!
 //! An engine gets no new requests from the time its setup is due to change. The order is sent once
 //! it runs no requests, and afterwards it is treated as cold. One engine per pool changes at a
@@ -70,7 +70,7 @@
     Setup(EngineSetup),
     /// The engine accepted the order.
     Accepted,
-    /// The engine has seen a higher fencing token.
+    /// The engine has seen a higher fencing number.
     Outdated,
     /// The engine does not support orders.
     Unsupported,
@@ -181,7 +181,7 @@
         self.engines.iter().filter(move |(_, progress)| is_held(progress)).map(|(name, _)| name)
     }
 
-    /// Returns the fencing token of each order and a readable description of its progress.
+    /// Returns the fencing number of each order and a readable description of its progress.
     pub fn stages(&self) -> impl Iterator<Item = (&UpstreamName, u64, String)> {
         self.engines.iter().map(|(name, progress)| {
             let stage = progress.stage.as_str();
--- a/src/kingcupgrade/state/record.rs
+++ b/src/kingcupgrade/state/record.rs
@@ -187,7 +187,7 @@
         self.configuration.as_ref()
     }
 
-    /// Stores the changed order for an upstream; the log index of the change is its fencing token.
+    /// Stores the changed order for an upstream; the log index of the change is its fencing number.
     fn order(&mut self, index: u64, upstream: &UpstreamName, change: &SetupChange) -> Reply {
         if let Err(err) = change.check() {
             return Reply::Refused(err);
