--- a/src/kingcupgrade/coordination/client.rs
+++ b/src/kingcupgrade/coordination/client.rs
@@ -22,8 +22,8 @@
 /// The timeout of a pull; the next control instance is tried after it.
 const PULL_TIMEOUT: Millis = Millis(1_000);
 /// A control instance whose state was confirmed longer ago than this is skipped too. It may be
-/// partitioned from the leader, and changes committed meanwhile must come into force here as soon
-/// as elsewhere.
+/// partitioned from the leader, and changes committed meanwhile must come into force on this
+/// instance as soon as on the others.
 const MAX_SOURCE_AGE: Millis = Millis(4 * HEARTBEAT.0);
 /// A proposal without a reply for this long is sent to the next control instance.
 const RESEND_DELAY: Millis = Millis(700);
@@ -44,7 +44,7 @@
     own: Instance,
     /// The control instances, in an order specific to this instance. If the order were the same for
     /// all, instances that leave one control instance would all move to the same next one, until
-    /// the whole fleet knew only what that one knows.
+    /// the whole fleet had only the state of that one.
     controls: Vec<Instance>,
     neighbours: Vec<Instance>,
     /// The index in `controls` of the instance that proposals are sent to.
--- a/src/kingcupgrade/coordination/consensus/members.rs
+++ b/src/kingcupgrade/coordination/consensus/members.rs
@@ -27,7 +27,8 @@
         self.members().iter().any(|member| member.voter && member.id == self.id)
     }
 
-    /// Tracks the replication progress of the current members; a new one counts as heard at `now`.
+    /// Tracks the replication progress of the current members; a new one counts as heard from at
+    /// `now`.
     pub(super) fn track_members(&mut self, now: Millis) {
         let next = self.log.last().index;
         let own = self.id.clone();
@@ -235,7 +236,7 @@
         self.joined.retain(|id| self.announced.contains_key(id));
     }
 
-    /// Returns the announced replicas that may be added, and when each was last heard.
+    /// Returns the announced replicas that may be added, and when each was last heard from.
     pub(super) fn addable(&self) -> impl Iterator<Item = (&ReplicaId, Millis)> {
         let not_joined = |(id, _): &(&ReplicaId, &Millis)| !self.joined.contains(*id);
         self.announced.iter().filter(not_joined).map(|(id, seen)| (id, *seen))
--- a/src/kingcupgrade/coordination/consensus/mod.rs
+++ b/src/kingcupgrade/coordination/consensus/mod.rs
@@ -31,10 +31,10 @@
 pub const ELECTION_MIN: Millis = Millis(1_000);
 /// The range of the random delay added to [`ELECTION_MIN`], in milliseconds.
 const ELECTION_SPREAD: u64 = 1_000;
-/// The minimum election timeout of a replica that has not heard a leader since it started: long
-/// enough for a leader's next heartbeat to arrive. When all replicas restart at once there is no
-/// leader, and callers wait for an election. If there is a leader, the pre-vote fails and does not
-/// disrupt it.
+/// The minimum election timeout of a replica that has not heard from a leader since it started:
+/// long enough for a leader's next heartbeat to arrive. When all replicas restart at once there is
+/// no leader, and callers wait for an election. If there is a leader, the pre-vote fails and does
+/// not disrupt it.
 const FIRST_ELECTION_MIN: Millis = Millis(2 * HEARTBEAT.0);
 /// The range of the random delay added to [`FIRST_ELECTION_MIN`], in milliseconds.
 const FIRST_ELECTION_SPREAD: u64 = 2 * HEARTBEAT.0;
@@ -77,7 +77,7 @@
     applied: u64,
     role: Role,
     election_at: Millis,
-    /// When a leader was last heard.
+    /// When a leader was last heard from.
     heard_leader: Option<Millis>,
     /// The latest time, by this replica's clock, at which a follower's applied state is known to
     /// have been current.
@@ -208,8 +208,8 @@
         self.send_hello(now, out);
     }
 
-    /// Detects that this process was stalled, and grants the other replicas [`STALL_GRACE`] to be
-    /// heard.
+    /// Detects that this process was stalled, and grants the other replicas [`STALL_GRACE`] for
+    /// their messages to arrive.
     ///
     /// A leader that stalls repeatedly, as with a disk that hangs, is granted it only once until a
     /// majority confirms it; otherwise it could stay leader indefinitely without a majority.
--- a/src/kingcupgrade/coordination/dispatcher/exchange.rs
+++ b/src/kingcupgrade/coordination/dispatcher/exchange.rs
@@ -20,8 +20,8 @@
     /// Lists the remote dispatchers to which entries should report their demand too.
     ///
     /// These are the ones with idle slots, and the ones whose backlogged organisations have all had
-    /// much more service than the least served organisation here. If this pool can't serve at all,
-    /// they are all listed.
+    /// much more service than the least served organisation of this pool. If this pool can't serve
+    /// at all, they are all listed.
     pub(super) fn offers(&self, now: Millis) -> Vec<Offer> {
         let Some(own_min) = self.counters.min_counter() else { return Vec::new() };
         let cannot_serve = !self.serving || self.slots.is_empty();
@@ -49,13 +49,13 @@
             self.counters.mark_backlogged_changed();
         }
         let served = self.counters.take_changed(EXCHANGE_BATCH, is_full);
-        // A pool that can't serve reports no counter: demand sent here would not be served sooner.
+        // A pool that can't serve reports no counter: demand sent to it would not be served sooner.
         let least = if self.serving { self.counters.min_counter() } else { None };
         let body = DispatchBody::Exchange { free: self.idle_slots(now), least, served };
         out.push(DispatcherOutput::SendToRemoteDispatchers(self.message(body)));
     }
 
-    /// Returns the lease holder of the service's pool in `domain`, if it was heard recently.
+    /// Returns the lease holder of the service's pool in `domain`, if it was heard from recently.
     pub fn known_holder(&self, now: Millis, domain: &FailureDomain) -> Option<&Instance> {
         let remote = self.remote_dispatchers.get(domain)?;
         remote.is_fresh(now).then_some(&remote.holder)
--- a/src/kingcupgrade/coordination/dispatcher/mod.rs
+++ b/src/kingcupgrade/coordination/dispatcher/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Each pool has a single dispatcher, so that the limit of a cold upstream is enforced exactly and
 //! slots are shared fairly among organisations across all entries. The dispatcher holds a lease
-//! (see [`super::lease`]). A new holder rebuilds its state from what the entries report, so nothing
-//! here is persisted.
+//! (see [`super::lease`]). A new holder rebuilds its state from what the entries report, so no
+//! dispatcher state is persisted.
 
 pub mod counters;
 mod demand;
@@ -214,7 +214,7 @@
     /// request can be running without one.
     ///
     /// Only the upstream's own load reports can show whether an unreachable entry uses its static
-    /// share there.
+    /// share of the upstream.
     pub fn upstream_state(&self, now: Millis, name: &UpstreamName) -> Option<(SocketAddr, bool)> {
         let slots = self.slots.get(name)?;
         let is_reserved = self.reserved.get(name).is_some_and(|count| *count > 0);
--- a/src/kingcupgrade/coordination/dispatcher/recovery.rs
+++ b/src/kingcupgrade/coordination/dispatcher/recovery.rs
@@ -122,7 +122,7 @@
     /// That applies from the start and whenever an entry has not been heard from recently. An entry
     /// partitioned from the majority may use its static share at any time. If this dispatcher
     /// granted those slots too, the combined load would make a cold upstream fail. A frozen entry
-    /// can't be told from a partitioned one and uses no slots, so only the static part is reserved.
+    /// looks like a partitioned one and uses no slots, so only the static part is reserved.
     pub(super) fn reserve_static_shares(&mut self, now: Millis) {
         self.reserved.clear();
         let may_use_share = |i: &Instance| {
--- a/src/kingcupgrade/coordination/dispatcher/slots.rs
+++ b/src/kingcupgrade/coordination/dispatcher/slots.rs
@@ -44,7 +44,7 @@
     pub report: Option<LoadReport>,
 }
 
-/// The load of an upstream at some time in the past, as reported by itself.
+/// The load of an upstream at some time in the past, as the upstream reported it.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadReport {
     /// Number of running requests.
@@ -302,8 +302,8 @@
 
     /// Removes the unaccounted requests of an entry that has listed its grants or has terminated.
     ///
-    /// `held` of the grants it listed were unknown here; as many unaccounted requests of unknown
-    /// entries are removed.
+    /// `held` of the grants it listed were unknown to this dispatcher; as many unaccounted requests
+    /// of unknown entries are removed.
     pub fn on_entry_reported(&mut self, entry: &Instance, held: usize) {
         let Some(requests) = &mut self.unaccounted else { return };
         requests.retain(|request| request.entry.as_ref() != Some(entry));
--- a/src/kingcupgrade/coordination/dispatcher/withheld.rs
+++ b/src/kingcupgrade/coordination/dispatcher/withheld.rs
@@ -1,8 +1,8 @@
 //! Logging of slots that are withheld while requests wait.
 //!
 //! A slot without a grant is not necessarily free: an unreachable entry may be using it, or an
-//! earlier request may still be running there. Without a log line, a dispatcher that withholds
-//! slots can't be told from one that hangs.
+//! earlier request may still be running on it. Without a log line, a dispatcher that withholds
+//! slots can't be distinguished from one that hangs.
 
 use super::{Dispatcher, DispatcherOutput};
 use crate::{
--- a/src/kingcupgrade/coordination/entry/mod.rs
+++ b/src/kingcupgrade/coordination/entry/mod.rs
@@ -193,7 +193,7 @@
         self.requests.len()
     }
 
-    /// Lists the services with requests running here under a static share.
+    /// Lists the services of which this entry runs requests under a static share.
     pub fn static_share_services(&self) -> Vec<Service> {
         let shared = self.held.keys().filter(|(_, id)| id.is_static());
         let services: BTreeSet<&Service> = shared.map(|(pool, _)| &pool.0).collect();
@@ -205,17 +205,17 @@
         self.requests.contains_key(&id)
     }
 
-    /// Lists the services with open requests here.
+    /// Lists the services of which this entry has open requests.
     pub fn active_services(&self) -> impl Iterator<Item = &Service> {
         self.open_by_service.keys()
     }
 
-    /// Returns whether any request of `service` is open here.
+    /// Returns whether this entry has an open request of `service`.
     pub fn is_active(&self, service: &Service) -> bool {
         self.open_by_service.contains_key(service)
     }
 
-    /// Returns whether a grant of the pool is in use here.
+    /// Returns whether this entry uses a grant of the pool.
     fn holds(&self, pool: &Pool) -> bool {
         let first = (pool.clone(), GrantId(0, 0));
         self.held.range(first..).next().is_some_and(|((held, _), _)| held == pool)
--- a/src/kingcupgrade/coordination/entry/sessions.rs
+++ b/src/kingcupgrade/coordination/entry/sessions.rs
@@ -17,7 +17,7 @@
     /// Closes a session that the dispatcher considers open but this entry does not.
     ///
     /// The opening message may be forwarded by another instance, and the closing message may
-    /// overtake it. The dispatcher would then grant slots that nobody uses until the session times
+    /// overtake it. The dispatcher would then grant slots that stay unused until the session times
     /// out.
     pub(super) fn close_unknown_session(
         &self,
--- a/src/kingcupgrade/coordination/fleet/io.rs
+++ b/src/kingcupgrade/coordination/fleet/io.rs
@@ -29,8 +29,8 @@
     /// This entry read the platform's list of upstreams; the change is to be sent to the entries
     /// that its duty covers.
     ShareListing(ListingUpdate, ListingDuty),
-    /// The platform's list of upstreams, or the one that a change builds on, is not known here and
-    /// is to be requested: from the given instance, or from the entries that may know it.
+    /// The platform's list of upstreams, or the one that a change builds on, is unknown and is
+    /// to be requested: from the given instance, or from the entries that may know it.
     RequestListing(Option<Instance>),
     /// The platform's list of upstreams is to be sent to an entry that requested it.
     SendListing(Instance, ListingUpdate),
@@ -76,7 +76,7 @@
     Restarted {
         /// The instance that restarted.
         instance: Instance,
-        /// The number of its restarts that were seen here.
+        /// The number of its restarts that this instance has observed.
         restarts: u32,
     },
 }
--- a/src/kingcupgrade/coordination/fleet/load_exchange.rs
+++ b/src/kingcupgrade/coordination/fleet/load_exchange.rs
@@ -55,9 +55,9 @@
     MIN_COLLECTOR_INTERVAL.max(Millis(INTERVAL_PER_ENTRY.0 * entries as u64))
 }
 
-/// Returns the approximate age of what an entry knows of the others in a fleet of `entries`: a
-/// report is half an interval old on average where each entry sends to all, and with collectors it
-/// also waits at two of them.
+/// Returns the approximate age of the other entries' reports in a fleet of `entries`: a report is
+/// half an interval old on average where each entry sends to all, and with collectors it also waits
+/// at two of them.
 pub fn report_age(entries: usize) -> Millis {
     let interval = share_interval(entries).0;
     if entries <= MAX_MESH_ENTRIES { Millis(interval / 2) } else { Millis(interval * 3 / 2) }
--- a/src/kingcupgrade/coordination/fleet/mod.rs
+++ b/src/kingcupgrade/coordination/fleet/mod.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Returns the configuration in force here.
+    /// Returns the configuration in force on this instance.
     pub fn view(&self) -> &View {
         &self.view
     }
--- a/src/kingcupgrade/coordination/lease/messages.rs
+++ b/src/kingcupgrade/coordination/lease/messages.rs
@@ -164,8 +164,8 @@
             if let Some(holder) = self.holders.get_mut(service)
                 && holder.instance == *from
             {
-                // As if last heard a lease duration ago, so that the other entries wait only for
-                // their rank's delay.
+                // As if the last message had arrived a lease duration ago, so that the other
+                // entries wait only for their rank's delay.
                 holder.last_heard = now.since(LEASE_DURATION);
             }
         }
--- a/src/kingcupgrade/coordination/lease/mod.rs
+++ b/src/kingcupgrade/coordination/lease/mod.rs
@@ -106,7 +106,7 @@
     next_renewal: Millis,
     next_announcement: Millis,
     retired: bool,
-    /// Services with requests running here under a static share.
+    /// Services of which this instance runs requests under a static share.
     static_share_services: Vec<Service>,
     /// When a connection to an instance was last refused, which shows that its process does not
     /// run.
@@ -168,7 +168,7 @@
         ranked.iter().position(|i| *i == self.instance).unwrap_or(ranked.len()) as u64
     }
 
-    /// Sets the services with requests running here under a static share.
+    /// Sets the services of which this instance runs requests under a static share.
     pub fn set_static_share_services(&mut self, services: Vec<Service>) {
         self.static_share_services = services;
     }
@@ -199,7 +199,7 @@
         others.filter(|voter| !is_terminated(voter)).count() > self.voters.len() / 2
     }
 
-    /// Returns whether another instance may hold a service's lease, as far as known here.
+    /// Returns whether another instance may hold a service's lease, as far as this one knows.
     pub fn may_be_held_elsewhere(&self, now: Millis, service: &Service) -> bool {
         let vote = self.votes.get(service);
         let promised = vote.is_some_and(|v| v.holder != self.instance && now < v.until);
@@ -266,7 +266,7 @@
     /// Releases the votes of attempts that won no majority in time.
     ///
     /// Two instances that request a lease at the same time may split the votes. If both kept their
-    /// votes and continued to ask, neither would win, and the pool would have no dispatcher.
+    /// votes and continued to request, neither would win, and the pool would have no dispatcher.
     fn abandon_attempts(&mut self, now: Millis, out: &mut Vec<LeaseOutput>) {
         let has_timed_out = |(_, attempt): &(&Service, &Attempt)| {
             now.since(attempt.requested_at) >= ATTEMPT_TIMEOUT
--- a/src/kingcupgrade/coordination/listing.rs
+++ b/src/kingcupgrade/coordination/listing.rs
@@ -61,7 +61,7 @@
     StandsIn,
     /// Reads the list for its failure domain while nothing arrives from the first stand-in either.
     StandsInSecond,
-    /// Receives what the others read.
+    /// Receives the list from the entries that read it.
     #[default]
     Hears,
 }
@@ -215,8 +215,8 @@
         self.change(own, base, changed, removed.cloned().collect())
     }
 
-    /// Applies a change from another entry; returns false if it builds on a list that is not known
-    /// here.
+    /// Applies a change from another entry; returns false if it builds on a list that this
+    /// entry does not have.
     pub fn on_change(&mut self, update: ListingUpdate) -> bool {
         let is_known = self.reader.as_ref() == Some(&update.reader) && self.number == update.base;
         if update.base == 0 {
--- a/src/kingcupgrade/coordination/node/mod.rs
+++ b/src/kingcupgrade/coordination/node/mod.rs
@@ -66,8 +66,8 @@
     DialFailed {
         /// The instance.
         instance: Instance,
-        /// Whether its host refused the connection because no process listens there; otherwise
-        /// nothing answered.
+        /// Whether its host refused the connection because no process listens on the address;
+        /// otherwise the attempt timed out or failed in another way.
         refused: bool,
     },
     /// A caller's request arrived.
--- a/src/kingcupgrade/coordination/orders.rs
+++ b/src/kingcupgrade/coordination/orders.rs
@@ -2,9 +2,10 @@
 //!
 //! Only the holder of the pool's lease sends orders, and only while the rest of its lease is longer
 //! than an attempt can take. That is not enough for an engine that ignores fencing numbers: an
-//! order of an earlier holder may be delayed in the network and arrive after a later one. The setups
-//! of the engines are therefore polled, and an engine whose setup differs from its order is sent the
-//! order again. An engine that checks fencing numbers refuses the delayed order and is not affected.
+//! order of an earlier holder may be delayed in the network and arrive after a later one. The
+//! setups of the engines are therefore polled, and an engine whose setup differs from its order is
+//! sent the order again. An engine that checks fencing numbers refuses the delayed order and is not
+//! affected.
 //!
 //! An engine gets no new requests from the time its setup is due to change. The order is sent once
 //! it runs no requests, and afterwards it is treated as cold. One engine per pool changes at a
--- a/src/kingcupgrade/coordination/traffic/budget.rs
+++ b/src/kingcupgrade/coordination/traffic/budget.rs
@@ -11,8 +11,8 @@
 /// The number of slices of the window. Each is counted and dropped as a whole, so more slices drop
 /// old counts sooner.
 const SLICES: u64 = 10;
-/// The fraction of the allowance that is spent. Arrivals are counted at the upstreams a little
-/// after they are sent here, and so fall into windows that this entry can't see exactly.
+/// The fraction of the allowance that is spent. Upstreams count a request a little after this entry
+/// has sent it, and so in windows whose bounds this entry doesn't know exactly.
 const SAFETY_FRACTION: f64 = 0.7;
 
 #[derive(Clone, Copy, Debug, Default)]
--- a/src/kingcupgrade/coordination/traffic/demand.rs
+++ b/src/kingcupgrade/coordination/traffic/demand.rs
@@ -29,7 +29,7 @@
     pub organisation: Organisation,
     /// When the request arrived at this entry.
     pub arrived: Millis,
-    /// The time by which the first byte of the answer should be there.
+    /// The time by which the first byte of the answer should reach the caller.
     pub target: Millis,
     /// The time by which the request must have ended.
     pub deadline: Millis,
--- a/src/kingcupgrade/coordination/traffic/mod.rs
+++ b/src/kingcupgrade/coordination/traffic/mod.rs
@@ -92,7 +92,7 @@
     /// When the waiting requests were last polled.
     last_poll: Millis,
     shares: Shares,
-    /// Prompt parts that upstreams cache and that the other entries have not been told about.
+    /// Prompt parts that upstreams cache and that have not been reported to the other entries.
     unannounced_parts: BTreeMap<UpstreamName, Vec<u64>>,
     /// Moving average of the tokens generated per request, by route.
     output_averages: HashMap<Arc<str>, f64>,
@@ -375,7 +375,7 @@
         }
         if !sent.has_begun && end != SendEnd::Answered {
             // The request never ran, so its charge is refunded. Without that, an organisation whose
-            // upstreams crash would get less than the others at that very time.
+            // upstreams crash would get less than the others while they do.
             self.shares.on_served(now, &sent.organisation, -sent.work);
         }
         self.update_output_average(now, &sent, end);
--- a/src/kingcupgrade/coordination/traffic/verdict.rs
+++ b/src/kingcupgrade/coordination/traffic/verdict.rs
@@ -22,13 +22,13 @@
 /// The known state of an upstream when a request was placed on it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Basis {
-    /// Requests under way there: those of this entry, and those of all others as last reported.
+    /// Requests under way on it: those of this entry, and those of all others as last reported.
     pub running: (u32, u32),
-    /// Unread prompt tokens there, without this request's.
+    /// Prompt tokens that it has not read yet, without this request's.
     pub unread: u64,
     /// Prompt tokens of this request that the upstream has not cached.
     pub to_read: u64,
-    /// The memory that all requests under way there will use at their end, in tokens.
+    /// The memory that all requests under way on it will use at their end, in tokens.
     pub memory: u64,
     /// The upstream's failure rate.
     pub failures: f64,
@@ -68,7 +68,7 @@
     Rejected,
     /// Another upstream now has the address.
     Replaced,
-    /// The request was given up here, as when its caller left.
+    /// This entry abandoned the request, for example because its caller disconnected.
     Cancelled,
 }
 
--- a/src/kingcupgrade/transport/callers/admit.rs
+++ b/src/kingcupgrade/transport/callers/admit.rs
@@ -110,7 +110,7 @@
     forwarded.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
 }
 
-/// Reads the idempotency key, and computes the digest of the request that it stands for.
+/// Reads the idempotency key, and computes the digest of the request that it identifies.
 fn read_key(
     request: &Request,
     service: &Service,
--- a/src/kingcupgrade/transport/callers/relay.rs
+++ b/src/kingcupgrade/transport/callers/relay.rs
@@ -78,8 +78,8 @@
 
     /// Fails the request because the node has sent no verdict in time.
     ///
-    /// The node must be told: otherwise it could still assign a slot to the request, and that slot
-    /// would never be released.
+    /// The node must be notified: otherwise it could still assign a slot to the request, and that
+    /// slot would never be released.
     fn on_verdict_timeout(&self) -> Verdict {
         self.report_disconnect();
         Verdict::GiveUp { code: Code::DeadlineQueued, retry_after: BUSY_RETRY_AFTER }
--- a/src/kingcupgrade/transport/control_server.rs
+++ b/src/kingcupgrade/transport/control_server.rs
@@ -31,7 +31,7 @@
 };
 
 /// The timeout of a change or a read. Operators try another instance if they have no response
-/// after a second, so a later response would reach nobody.
+/// after a second, so a later response would not be read.
 const RECORD_TIMEOUT: Millis = Millis(900);
 /// The maximum length of a configuration in bytes. An entry, which has 160 MB of memory, holds the
 /// configuration both as text and decoded, and for a moment also the next one while it takes
--- a/src/kingcupgrade/transport/gateway/listing.rs
+++ b/src/kingcupgrade/transport/gateway/listing.rs
@@ -88,7 +88,7 @@
     }
 
     /// Applies an update from another entry; asks that entry for the complete list if the update is
-    /// relative to a list that is not known here.
+    /// relative to a list that this entry does not have.
     pub(super) fn on_listing_update(&self, from: Instance, update: ListingUpdate) {
         let age = update.age;
         let mut known = self.listing.borrow_mut();
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -245,7 +245,7 @@
     metrics::start(settings.metrics_address).await.context("metrics")?;
     let (update_tx, mut updates) = mpsc::unbounded_channel();
     let sink = move |update| {
-        // The receiver is gone only while the process exits.
+        // The receiver is dropped only while the process exits.
         let _ = update_tx.send(update);
     };
     let fleet = FleetHandle::start(settings.clone(), Box::new(sink))?;
--- a/src/kingcupgrade/transport/gateway/relay.rs
+++ b/src/kingcupgrade/transport/gateway/relay.rs
@@ -163,8 +163,8 @@
         Some(events.bytes)
     }
 
-    /// Resumes the stream elsewhere if the upstream has been silent for too long, and aborts it if
-    /// the deadline has passed.
+    /// Resumes the stream on another upstream if this one has been silent for too long, and aborts
+    /// it if the deadline has passed.
     fn poll_timer(
         &mut self,
         cx: &mut Context<'_>,
--- a/src/kingcupgrade/transport/gateway/serve.rs
+++ b/src/kingcupgrade/transport/gateway/serve.rs
@@ -36,7 +36,8 @@
 /// response. Callers keep idle connections for many seconds, and once all sockets are in use no new
 /// caller could connect.
 const KEEP_ALIVE_FRACTION: f64 = 0.4;
-/// Idle connections are kept open this much longer than the timeout that callers know of.
+/// Idle connections are kept open this much longer than the configured timeout, which callers
+/// know.
 const IDLE_SLACK: Millis = Millis(1_000);
 /// The timeout for the head of a request on a connection that is accepted while idle connections
 /// are being closed; callers send a request as soon as they have connected.
@@ -88,7 +89,7 @@
                     serve_connection(gateway, stream).await;
                 });
             }
-            // An entry that stopped accepting would still look healthy but serve nobody.
+            // An entry that stopped accepting would still look healthy but serve no caller.
             Err(err) => {
                 log::warning("accept-failed", &err.to_string());
                 sleep(ACCEPT_PAUSE).await;
--- a/src/kingcupgrade/transport/http/mod.rs
+++ b/src/kingcupgrade/transport/http/mod.rs
@@ -91,7 +91,7 @@
 /// Accepts connections for as long as the server runs.
 ///
 /// Accepting fails while the process is out of file descriptors. An instance that stopped accepting
-/// because of that would still look healthy but serve nobody.
+/// because of that would still look healthy but serve no client.
 async fn accept_all(listener: net::TcpListener, serve: Handler) {
     loop {
         match listener.accept().await {
--- a/src/kingcupgrade/transport/listen.rs
+++ b/src/kingcupgrade/transport/listen.rs
@@ -14,8 +14,8 @@
 
 use crate::util::log;
 
-/// The listen backlog. If it is full, a caller's SYN is dropped, and the caller hears nothing for a
-/// second and gives up; a refused connection would send it to another entry at once.
+/// The listen backlog. If it is full, a caller's SYN is dropped, and the caller gives up after a
+/// second without a response; with a refused connection it would try another entry at once.
 const BACKLOG: u32 = 4_096;
 /// How long to retry while an address is in use: the previous process may still be shutting down.
 const IN_USE_TIMEOUT: Duration = Duration::from_secs(5);
--- a/src/kingcupgrade/transport/peers.rs
+++ b/src/kingcupgrade/transport/peers.rs
@@ -38,7 +38,7 @@
 
 /// The maximum number of messages queued for a peer.
 const QUEUE_LEN: usize = 4_096;
-/// The timeout for connecting. A machine without power doesn't respond at all, and once it is back
+/// The timeout for connecting. A host without power doesn't respond at all, and once it is back
 /// only a new attempt reaches it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// The timeout for connecting and the handshake together.
@@ -81,7 +81,7 @@
 /// Returns the address on which an instance listens, if it is known.
 pub type AddressBook = Arc<dyn Fn(&Instance) -> Option<SocketAddr> + Send + Sync>;
 
-/// The configuration of an instance's connections to the others.
+/// The configuration of an instance's connections to its peers.
 #[derive(Clone)]
 pub struct PeerConfig {
     /// The name of this instance.
--- a/src/kingcupgrade/transport/tasks.rs
+++ b/src/kingcupgrade/transport/tasks.rs
@@ -1,7 +1,8 @@
 //! Tasks that a process can't run without.
 //!
 //! Tokio catches a task's panic, and the other tasks continue. An entry whose accepting task has
-//! ended would look healthy but serve nobody, so the process ends with the task and is restarted.
+//! ended would look healthy but serve no caller, so the process ends with the task and is
+//! restarted.
 
 use std::future::Future;
 
--- a/src/kingcupgrade/util/log.rs
+++ b/src/kingcupgrade/util/log.rs
@@ -80,7 +80,7 @@
         let mut stdout = io::stdout().lock();
         // If standard output is closed, the error cannot be reported anywhere.
         let _ = stdout.write_all(last.as_bytes()).and_then(|()| stdout.flush());
-        // The receiver is gone after the timeout.
+        // The receiver has been dropped if the timeout has passed.
         let _ = tx.send(());
     });
     let _ = rx.recv_timeout(FINISH_TIMEOUT);
--- a/src/kingcupgrade/util/process.rs
+++ b/src/kingcupgrade/util/process.rs
@@ -1,7 +1,8 @@
 //! Logs the reason for which a process ends.
 //!
 //! The logs are the only evidence of the cause of a restart. They distinguish a process that was
-//! told to stop, one that failed and one that panicked. A process that is killed logs no such line.
+//! asked to stop, one that failed and one that panicked. A process that is killed logs no such
+//! line.
 
 use std::{
     any::Any,
@@ -30,7 +31,7 @@
 /// The fields of the last line logged by a process.
 #[derive(Serialize)]
 struct Ended {
-    /// The error that ended the process; `None` if it was told to stop.
+    /// The error that ended the process; `None` if it was asked to stop.
     cause: Option<String>,
 }
 
