--- a/src/kingcupgrade/coordination/dispatcher/counters.rs
+++ b/src/kingcupgrade/coordination/dispatcher/counters.rs
@@ -213,8 +213,8 @@
 
     /// Merges the service totals of another failure domain.
     ///
-    /// Organisations that the document here does not have yet are skipped; they are sent again when
-    /// their service changes. Returns whether any total is lower than the known one.
+    /// Organisations that this instance's document does not have yet are skipped; they are sent
+    /// again when their service changes. Returns whether any total is lower than the known one.
     pub fn merge_remote(&mut self, domain: &FailureDomain, served: &[ServiceReceived]) -> bool {
         let mut any_lower = false;
         for ServiceReceived(tag, total, lift) in served {
--- a/src/kingcupgrade/coordination/dispatcher/recovery.rs
+++ b/src/kingcupgrade/coordination/dispatcher/recovery.rs
@@ -69,8 +69,8 @@
         if !self.demand.is_current(entry, session) {
             return;
         }
-        // An entry closes a session only when it holds no grant. A grant still counted here was in
-        // transit and will not be used.
+        // An entry closes a session only when it holds no grant. A grant that this dispatcher
+        // still counts was in transit and will not be used.
         self.end_session(now, entry);
     }
 
--- a/src/kingcupgrade/coordination/dispatcher/slots.rs
+++ b/src/kingcupgrade/coordination/dispatcher/slots.rs
@@ -82,7 +82,7 @@
     incarnation: u64,
     /// When the limit was last reset. Reports and grants older than this are not evidence.
     reset_at: Millis,
-    /// Whether the last report made since `reset_at` says warm.
+    /// Whether the last report made since `reset_at` shows the upstream as warm.
     confirmed_warm: bool,
     average_first_byte: Option<f32>,
     paused_until: Millis,
--- a/src/kingcupgrade/coordination/entry/mod.rs
+++ b/src/kingcupgrade/coordination/entry/mod.rs
@@ -276,7 +276,8 @@
         out.push(EntryOutput::GiveUp { id, code, retry_after });
     }
 
-    /// Returns how long a refused caller should wait: as long as requests currently wait here.
+    /// Returns how long a refused caller should wait: the moving average of the time that requests
+    /// of the service wait on this entry, within limits.
     fn retry_after(&self, service: &Service) -> Millis {
         let wait = self.services.get(service).map_or(Millis::ZERO, |state| state.average_wait);
         wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
--- a/src/kingcupgrade/coordination/entry/pool_session.rs
+++ b/src/kingcupgrade/coordination/entry/pool_session.rs
@@ -44,7 +44,7 @@
     pub session: Session,
     /// Until when the session is needed; `None` for the pool of this failure domain.
     pub wanted_until: Option<Millis>,
-    /// When a request of the service was last open here.
+    /// When this entry last had an open request of the service.
     pub last_active: Millis,
     /// Whether no demand is reported because the pool may get no new requests at present.
     pub demand_suspended: bool,
@@ -107,7 +107,8 @@
     pub fn note_changed(&mut self, organisation: &Organisation, count: u32) {
         let reported = self.reported.get(organisation).copied().unwrap_or(0);
         if count == reported && !self.demand_suspended {
-            // The dispatcher subtracts its grants from the count, as `note_received` does here.
+            // The dispatcher subtracts its grants from the count, as `note_received` does on the
+            // entry.
             self.changed.remove(organisation);
             return;
         }
--- a/src/kingcupgrade/coordination/fleet/discovery.rs
+++ b/src/kingcupgrade/coordination/fleet/discovery.rs
@@ -15,8 +15,8 @@
 
 /// The interval at which an instance announces itself.
 const ANNOUNCE_INTERVAL: Millis = Millis(1_000);
-/// The same interval while it knows no entry: when a whole fleet starts, most of the others don't
-/// listen yet.
+/// The same interval while it knows no entry: when a whole fleet starts, most instances don't
+/// accept connections yet.
 const FIRST_ANNOUNCE_INTERVAL: Millis = Millis(200);
 
 impl FleetNode {
--- a/src/kingcupgrade/coordination/lease/mod.rs
+++ b/src/kingcupgrade/coordination/lease/mod.rs
@@ -24,7 +24,7 @@
 const ANNOUNCEMENT_INTERVAL: Millis = Millis(1_000);
 /// Additional delay per rank before an instance requests a lease that has no holder.
 const RANK_DELAY: Millis = Millis(300);
-/// How long an instance waits for a majority before it gives the votes back.
+/// How long an instance waits for a majority before it releases the votes.
 const ATTEMPT_TIMEOUT: Millis = Millis(250);
 /// Milliseconds of wall-clock time per term. Attempts of an instance are further apart than this,
 /// so the clock advances faster than the terms.
@@ -275,7 +275,7 @@
         let claims: Vec<Claim> =
             timed_out.map(|(service, attempt)| Claim(service.clone(), attempt.term)).collect();
         for Claim(service, _) in &claims {
-            // A vote that arrives later is not counted, since the release gives it back.
+            // A vote that arrives later is not counted, since the release covers it too.
             self.attempts.remove(service);
             let delay = RANK_DELAY.0 * (self.rank(service) + 1);
             self.retry_at.insert(service.clone(), now + Millis(delay));
--- a/src/kingcupgrade/coordination/node/mod.rs
+++ b/src/kingcupgrade/coordination/node/mod.rs
@@ -347,7 +347,8 @@
                 });
             }
             Message::Record(message) => self.on_record(now, unix_ms, from, message, out),
-            // Used by fleets with automatic discovery; here the settings name all instances.
+            // Used only by fleets with automatic discovery; a `Node` has all instances in its
+            // settings.
             Message::Fleet(_) => {}
         }
     }
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -153,8 +153,8 @@
 
     /// Forwards a message to the holder of its pool's lease; a message is forwarded at most once.
     ///
-    /// Instances of other failure domains are not told who holds a lease here. They send to any
-    /// instance that may hold it, and learn the holder from the reply.
+    /// Leases are not announced to other failure domains. Their instances send to any instance that
+    /// may hold the lease, and learn the holder from the reply.
     fn forward(
         &mut self,
         now: Millis,
--- a/src/kingcupgrade/coordination/node/requests.rs
+++ b/src/kingcupgrade/coordination/node/requests.rs
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Opens sessions in the other failure domains, since the pool here has no dispatcher.
+    /// Opens sessions in the other failure domains, since the pool of this one has no
+    /// dispatcher.
     fn request_from_other_domains(
         &mut self,
         now: Millis,
--- a/src/kingcupgrade/coordination/shutdown.rs
+++ b/src/kingcupgrade/coordination/shutdown.rs
@@ -3,7 +3,7 @@
 //! The load balancer notices only after some time that the entry is not ready, and sends callers to
 //! it until then. They are served, and connections are closed as they become idle. If the process
 //! ended while its listener was open, a request that had just arrived could be sent to an upstream
-//! and run there while its caller finds the connection closed. The listener is therefore closed
+//! and run by it while its caller finds the connection closed. The listener is therefore closed
 //! first, and the process ends only once a later check finds no open connections.
 
 use crate::core::Millis;
--- a/src/kingcupgrade/coordination/traffic/placement.rs
+++ b/src/kingcupgrade/coordination/traffic/placement.rs
@@ -13,8 +13,8 @@
 const MEMORY_FRACTION: f64 = 0.9;
 /// The weight of the time to re-read a shared part, against an earlier first event for this one
 /// request. Re-reading takes engine time from all requests and memory from other cached parts. With
-/// this weight a shared part of some thousand tokens stays at its preferred upstream as long as the
-/// target is met there.
+/// this weight a shared part of some thousand tokens stays at its preferred upstream as long as
+/// that one meets the target.
 const REREAD_WEIGHT: f64 = 12.0;
 /// The fraction of the time left to the target within which an expected first event is safe:
 /// estimates miss what other entries have sent since their last report.
@@ -30,11 +30,11 @@
 /// The cost of each further position in a part's ranking, in milliseconds, so that entries that
 /// avoid a busy preferred upstream go to the same next one.
 const RANK_WEIGHT: f64 = 10.0;
-/// Time kept free before the target for the way to the caller, in milliseconds.
+/// Time reserved before the target for the response to reach the caller, in milliseconds.
 const RETURN_MARGIN_MS: f64 = 40.0;
 /// The limit of requests under way at a plain upstream, as a multiple of its slots. Those beyond
-/// its slots wait there for a fraction of one request's duration, which is less than the age of the
-/// other entries' reports.
+/// its slots wait at the upstream for a fraction of one request's duration, which is less than the
+/// age of the other entries' reports.
 const PLAIN_LIMIT_FACTOR: u32 = 2;
 /// The cost of a plain upstream in another failure domain, in requests under way: traffic between
 /// failure domains takes time and is paid for by the byte.
--- a/src/kingcupgrade/coordination/traffic/queue.rs
+++ b/src/kingcupgrade/coordination/traffic/queue.rs
@@ -84,7 +84,7 @@
     /// Counts a request that is refused before admission because this entry's processor is
     /// overloaded, and returns the caller's retry delay.
     ///
-    /// The request counts as asked for and refused. If it weren't counted, an organisation whose
+    /// The request counts as requested and refused. If it weren't counted, an organisation whose
     /// callers all use one busy entry would seem to ask for little, and would not limit the
     /// organisations that take its share at other entries.
     pub fn refuse_overloaded(&mut self, now: Millis, demand: &Demand) -> Millis {
--- a/src/kingcupgrade/coordination/traffic/upstream.rs
+++ b/src/kingcupgrade/coordination/traffic/upstream.rs
@@ -100,7 +100,7 @@
             self.cold_until = now + listed.cold;
         }
         // An upstream that leaves doesn't become ready again without a restart. A list that shows
-        // it as ready was delayed, and requests sent on its account would be cut off.
+        // it as ready was delayed, and requests sent because of it would be cut off.
         let has_left = !has_restarted && self.is_leaving;
         self.is_leaving = has_left || !listed.is_ready;
         self.listed = listed;
--- a/src/kingcupgrade/coordination/view.rs
+++ b/src/kingcupgrade/coordination/view.rs
@@ -155,8 +155,8 @@
         if known.is_some_and(|known| known.stored.index >= stored.index) {
             return false;
         }
-        // The record holds only validated documents. One that can't be parsed here was validated by
-        // a newer version of the program; the known document stays in force.
+        // The record holds only validated documents. One that this version of the program can't
+        // parse was validated by a newer version; the known document stays in force.
         let Ok(document) = Document::parse(&stored.text) else { return false };
         let in_force = InForce { document: Arc::new(document), stored: stored.clone() };
         self.documents.insert(stored.service.clone(), in_force);
