--- a/src/kingcupgrade/coordination/consensus/election.rs
+++ b/src/kingcupgrade/coordination/consensus/election.rs
@@ -14,7 +14,7 @@
 
 impl Consensus {
     pub(super) fn reset_election_timer(&mut self, now: Millis) {
-        let (min, spread) = match self.heard_leader {
+        let (min, spread) = match self.last_leader_contact {
             Some(_) => (ELECTION_MIN, ELECTION_SPREAD),
             None => (FIRST_ELECTION_MIN, FIRST_ELECTION_SPREAD),
         };
@@ -42,7 +42,7 @@
 
     pub(super) fn follow_leader(&mut self, now: Millis, leader: &ReplicaId) {
         self.role = Role::Follower { leader: Some(leader.clone()) };
-        self.heard_leader = Some(now);
+        self.last_leader_contact = Some(now);
         self.reset_election_timer(now);
     }
 
@@ -74,7 +74,7 @@
         // A replica in contact with a leader neither votes nor raises its term. Otherwise a member
         // that was removed, or that receives no messages, would depose a working leader.
         let has_leader = self.is_leader()
-            || self.heard_leader.is_some_and(|heard| now.since(heard) < ELECTION_MIN);
+            || self.last_leader_contact.is_some_and(|contact| now.since(contact) < ELECTION_MIN);
         let wanted_term = if pre { term + 1 } else { term };
         let is_newer = wanted_term > self.term();
         let may_repeat = !pre && term == self.term() && self.may_vote_for(from);
@@ -140,7 +140,7 @@
     }
 
     fn become_leader(&mut self, now: Millis, out: &mut Vec<ConsensusOutput>) {
-        self.heard_leader = Some(now);
+        self.last_leader_contact = Some(now);
         let first_index = self.log.last().index + 1;
         self.role = Role::Leader { progress: BTreeMap::new(), first_index };
         self.next_heartbeat = now;
--- a/src/kingcupgrade/coordination/consensus/members.rs
+++ b/src/kingcupgrade/coordination/consensus/members.rs
@@ -180,12 +180,12 @@
         members.iter().filter(|member| member.voter && is_reachable(&member.id)).count()
     }
 
-    /// Returns whether the instance of a replica has announced another replica since `heard`. It
-    /// then restarted with an empty data folder, which shows sooner than a timeout that the replica
-    /// is lost.
-    fn is_replaced(&self, id: &ReplicaId, heard: Millis) -> bool {
+    /// Returns whether the instance of a replica has announced another replica after `last_heard`.
+    /// It then restarted with an empty data folder, which shows sooner than a timeout that the
+    /// replica is lost.
+    fn is_replaced(&self, id: &ReplicaId, last_heard: Millis) -> bool {
         let mut announced = self.announced.iter();
-        announced.any(|(other, seen)| other.0 == id.0 && other != id && *seen > heard)
+        announced.any(|(other, seen)| other.0 == id.0 && other != id && *seen > last_heard)
     }
 
     /// Returns whether a new voter can be added without risking the quorum: either all current
--- a/src/kingcupgrade/coordination/consensus/mod.rs
+++ b/src/kingcupgrade/coordination/consensus/mod.rs
@@ -78,7 +78,7 @@
     role: Role,
     election_at: Millis,
     /// When a leader was last heard from.
-    heard_leader: Option<Millis>,
+    last_leader_contact: Option<Millis>,
     /// The latest time, by this replica's clock, at which a follower's applied state is known to
     /// have been current.
     confirmed: Option<Millis>,
@@ -110,7 +110,7 @@
             applied,
             role: Role::Follower { leader: None },
             election_at: now,
-            heard_leader: None,
+            last_leader_contact: None,
             confirmed: None,
             next_heartbeat: now,
             ticked: now,
@@ -219,7 +219,7 @@
         if !was_stalled {
             return;
         }
-        if self.heard_leader.is_some() {
+        if self.last_leader_contact.is_some() {
             self.election_at = self.election_at.max(now + STALL_GRACE);
         }
         if self.stalled.is_none_or(|stalled| self.quorum_confirmed(now) > stalled) {
--- a/src/kingcupgrade/coordination/entry/pool_session.rs
+++ b/src/kingcupgrade/coordination/entry/pool_session.rs
@@ -127,16 +127,16 @@
         self.progress.insert(id, cost);
     }
 
-    /// Returns whether grants may be used if report `heard` was the last that the dispatcher had
-    /// received when it issued them.
+    /// Returns whether grants may be used if report `last_report` was the last that the dispatcher
+    /// had received when it issued them.
     ///
     /// A dispatcher that receives nothing for the session timeout may grant the slots to other
     /// entries. An entry that was stopped, or whose messages were delayed, would use the same slots
     /// when it resumes, and a cold upstream would get twice the load it can handle. The time at
     /// which the report was sent is known on this entry's clock, and the dispatcher can't have
     /// ended the session before the timeout has passed since then.
-    pub fn may_use_grants(&self, now: Millis, heard: u64) -> bool {
-        let sent = self.report_times.get(&heard);
+    pub fn may_use_grants(&self, now: Millis, last_report: u64) -> bool {
+        let sent = self.report_times.get(&last_report);
         sent.is_some_and(|sent| now.since(*sent) + GRANT_MARGIN < SESSION_TIMEOUT)
     }
 
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -306,12 +306,12 @@
     }
 
     /// Returns how many of an upstream's slots this entry may use under its static share.
-    fn share_slots(&self, now: Millis, whole: SlotLimits) -> SlotLimits {
-        let Some(leases) = &self.leases else { return whole };
+    fn share_slots(&self, now: Millis, limits: SlotLimits) -> SlotLimits {
+        let Some(leases) = &self.leases else { return limits };
         // If the other voters can form a majority, a dispatcher may run on the other side of a
         // network partition. It reserves no more than the static part for this entry.
         let own =
-            if leases.others_may_form_majority(now) { whole.static_slots() } else { whole.cold };
+            if leases.others_may_form_majority(now) { limits.static_slots() } else { limits.cold };
         SlotLimits { cold: own, warm: own }
     }
 
