--- a/src/kingcupgrade/coordination/consensus/members.rs
+++ b/src/kingcupgrade/coordination/consensus/members.rs
@@ -27,7 +27,8 @@
         self.members().iter().any(|member| member.voter && member.id == self.id)
     }
 
-    /// Tracks the replication progress of the current members; a new one counts as heard at `now`.
+    /// Tracks the replication progress of the current members; a new one counts as heard from at
+    /// `now`.
     pub(super) fn track_members(&mut self, now: Millis) {
         let next = self.log.last().index;
         let own = self.id.clone();
@@ -155,20 +156,20 @@
     /// Checks that a majority of the voters in `members` is reachable.
     pub(super) fn check_majority(&self, now: Millis, members: &[Member]) -> Result<(), CodedError> {
         let voters = members.iter().filter(|member| member.voter).count();
-        let heard = self.heard_voters(now, members);
-        if heard < voters / 2 + 1 {
+        let reachable = self.count_reachable_voters(now, members);
+        if reachable < voters / 2 + 1 {
             return Err(refused(format!(
-                "only {heard} of the {voters} voters that would remain are reachable"
+                "only {reachable} of the {voters} voters that would remain are reachable"
             )));
         }
         Ok(())
     }
 
-    fn heard_voters(&self, now: Millis, members: &[Member]) -> usize {
+    fn count_reachable_voters(&self, now: Millis, members: &[Member]) -> usize {
         let Role::Leader { progress, .. } = &self.role else { return 0 };
-        let is_heard = |id: &ReplicaId| {
-            // A new leader has not heard any other voter yet, though `acked` is already set. If it
-            // counted a lost voter as heard, it would promote a new voter beside it.
+        let is_reachable = |id: &ReplicaId| {
+            // A new leader has not heard from any other voter yet, though `acked` is already set.
+            // If it counted a lost voter as reachable, it would promote a new voter beside it.
             let is_recent = |p: &Progress| {
                 p.has_answered
                     && now.since(p.acked) < ELECTION_MIN
@@ -176,15 +177,15 @@
             };
             *id == self.id || progress.get(id).is_some_and(is_recent)
         };
-        members.iter().filter(|member| member.voter && is_heard(&member.id)).count()
+        members.iter().filter(|member| member.voter && is_reachable(&member.id)).count()
     }
 
-    /// Returns whether the instance of a replica has announced another replica since `heard`. It
-    /// then restarted with an empty data folder, which shows sooner than a timeout that the replica
-    /// is lost.
-    fn is_replaced(&self, id: &ReplicaId, heard: Millis) -> bool {
+    /// Returns whether the instance of a replica has announced another replica after `last_heard`.
+    /// It then restarted with an empty data folder, which shows sooner than a timeout that the
+    /// replica is lost.
+    fn is_replaced(&self, id: &ReplicaId, last_heard: Millis) -> bool {
         let mut announced = self.announced.iter();
-        announced.any(|(other, seen)| other.0 == id.0 && other != id && *seen > heard)
+        announced.any(|(other, seen)| other.0 == id.0 && other != id && *seen > last_heard)
     }
 
     /// Returns whether a new voter can be added without risking the quorum: either all current
@@ -196,8 +197,8 @@
     /// therefore waits for the removal; until then, losing the new replica does no harm.
     fn tolerates_new_voter(&self, now: Millis) -> bool {
         let voters = self.voters().len();
-        let heard = self.heard_voters(now, self.members());
-        heard == voters || heard > voters.div_ceil(2)
+        let reachable = self.count_reachable_voters(now, self.members());
+        reachable == voters || reachable > voters.div_ceil(2)
     }
 
     /// Promotes a learner that has caught up to a voter.
@@ -235,7 +236,7 @@
         self.joined.retain(|id| self.announced.contains_key(id));
     }
 
-    /// Returns the announced replicas that may be added, and when each was last heard.
+    /// Returns the announced replicas that may be added, and when each was last heard from.
     pub(super) fn addable(&self) -> impl Iterator<Item = (&ReplicaId, Millis)> {
         let not_joined = |(id, _): &(&ReplicaId, &Millis)| !self.joined.contains(*id);
         self.announced.iter().filter(not_joined).map(|(id, seen)| (id, *seen))
--- a/src/kingcupgrade/coordination/dispatcher/slots.rs
+++ b/src/kingcupgrade/coordination/dispatcher/slots.rs
@@ -44,7 +44,7 @@
     pub report: Option<LoadReport>,
 }
 
-/// The load of an upstream at some time in the past, as reported by itself.
+/// The load of an upstream at some time in the past, as the upstream reported it.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadReport {
     /// Number of running requests.
@@ -82,7 +82,7 @@
     incarnation: u64,
     /// When the limit was last reset. Reports and grants older than this are not evidence.
     reset_at: Millis,
-    /// Whether the last report made since `reset_at` says warm.
+    /// Whether the last report made since `reset_at` shows the upstream as warm.
     confirmed_warm: bool,
     average_first_byte: Option<f32>,
     paused_until: Millis,
@@ -302,8 +302,8 @@
 
     /// Removes the unaccounted requests of an entry that has listed its grants or has terminated.
     ///
-    /// `held` of the grants it listed were unknown here; as many unaccounted requests of unknown
-    /// entries are removed.
+    /// `held` of the grants it listed were unknown to this dispatcher; as many unaccounted requests
+    /// of unknown entries are removed.
     pub fn on_entry_reported(&mut self, entry: &Instance, held: usize) {
         let Some(requests) = &mut self.unaccounted else { return };
         requests.retain(|request| request.entry.as_ref() != Some(entry));
--- a/src/kingcupgrade/coordination/entry/pool_session.rs
+++ b/src/kingcupgrade/coordination/entry/pool_session.rs
@@ -44,7 +44,7 @@
     pub session: Session,
     /// Until when the session is needed; `None` for the pool of this failure domain.
     pub wanted_until: Option<Millis>,
-    /// When a request of the service was last open here.
+    /// When this entry last had an open request of the service.
     pub last_active: Millis,
     /// Whether no demand is reported because the pool may get no new requests at present.
     pub demand_suspended: bool,
@@ -107,7 +107,8 @@
     pub fn note_changed(&mut self, organisation: &Organisation, count: u32) {
         let reported = self.reported.get(organisation).copied().unwrap_or(0);
         if count == reported && !self.demand_suspended {
-            // The dispatcher subtracts its grants from the count, as `note_received` does here.
+            // The dispatcher subtracts its grants from the count, as `note_received` does on the
+            // entry.
             self.changed.remove(organisation);
             return;
         }
@@ -126,16 +127,16 @@
         self.progress.insert(id, cost);
     }
 
-    /// Returns whether grants may be used if report `heard` was the last that the dispatcher had
-    /// received when it issued them.
+    /// Returns whether grants may be used if report `last_report` was the last that the dispatcher
+    /// had received when it issued them.
     ///
     /// A dispatcher that receives nothing for the session timeout may grant the slots to other
     /// entries. An entry that was stopped, or whose messages were delayed, would use the same slots
     /// when it resumes, and a cold upstream would get twice the load it can handle. The time at
     /// which the report was sent is known on this entry's clock, and the dispatcher can't have
     /// ended the session before the timeout has passed since then.
-    pub fn may_use_grants(&self, now: Millis, heard: u64) -> bool {
-        let sent = self.report_times.get(&heard);
+    pub fn may_use_grants(&self, now: Millis, last_report: u64) -> bool {
+        let sent = self.report_times.get(&last_report);
         sent.is_some_and(|sent| now.since(*sent) + GRANT_MARGIN < SESSION_TIMEOUT)
     }
 
--- a/src/kingcupgrade/coordination/fleet/load_exchange.rs
+++ b/src/kingcupgrade/coordination/fleet/load_exchange.rs
@@ -55,9 +55,9 @@
     MIN_COLLECTOR_INTERVAL.max(Millis(INTERVAL_PER_ENTRY.0 * entries as u64))
 }
 
-/// Returns the approximate age of what an entry knows of the others in a fleet of `entries`: a
-/// report is half an interval old on average where each entry sends to all, and with collectors it
-/// also waits at two of them.
+/// Returns the approximate age of the other entries' reports in a fleet of `entries`: a report is
+/// half an interval old on average where each entry sends to all, and with collectors it also waits
+/// at two of them.
 pub fn report_age(entries: usize) -> Millis {
     let interval = share_interval(entries).0;
     if entries <= MAX_MESH_ENTRIES { Millis(interval / 2) } else { Millis(interval * 3 / 2) }
@@ -280,7 +280,7 @@
 struct Sum {
     loads: BTreeMap<UpstreamName, [i64; 3]>,
     served: BTreeMap<Organisation, f64>,
-    asked: BTreeMap<Organisation, f64>,
+    requested: BTreeMap<Organisation, f64>,
     refused: BTreeMap<Organisation, f64>,
 }
 
@@ -294,7 +294,7 @@
         }
         let all = [
             (&mut self.served, &report.served),
-            (&mut self.asked, &report.asked),
+            (&mut self.requested, &report.requested),
             (&mut self.refused, &report.refused),
         ];
         for (sums, reported) in all {
@@ -318,7 +318,7 @@
             number: 0,
             loads: loads.collect(),
             served: tokens(&self.served),
-            asked: tokens(&self.asked),
+            requested: tokens(&self.requested),
             kept: Vec::new(),
             refused: tokens(&self.refused),
         }
--- a/src/kingcupgrade/coordination/node/mod.rs
+++ b/src/kingcupgrade/coordination/node/mod.rs
@@ -66,8 +66,8 @@
     DialFailed {
         /// The instance.
         instance: Instance,
-        /// Whether its host refused the connection because no process listens there; otherwise
-        /// nothing answered.
+        /// Whether its host refused the connection because no process listens on the address;
+        /// otherwise the attempt timed out or failed in another way.
         refused: bool,
     },
     /// A caller's request arrived.
@@ -202,7 +202,7 @@
         claimer: u64,
         control: Option<ControlMachine>,
     ) -> Node {
-        let own = settings.own().clone();
+        let own = settings.own_peer().clone();
         let instance = own.instance.clone();
         let domain = own.failure_domain.clone();
         let is_entry = own.has_role(Role::Entry);
@@ -347,7 +347,8 @@
                 });
             }
             Message::Record(message) => self.on_record(now, unix_ms, from, message, out),
-            // Used by fleets with automatic discovery; here the settings name all instances.
+            // Used only by fleets with automatic discovery; a `Node` has all instances in its
+            // settings.
             Message::Fleet(_) => {}
         }
     }
--- a/src/kingcupgrade/coordination/node/pools.rs
+++ b/src/kingcupgrade/coordination/node/pools.rs
@@ -153,8 +153,8 @@
 
     /// Forwards a message to the holder of its pool's lease; a message is forwarded at most once.
     ///
-    /// Instances of other failure domains are not told who holds a lease here. They send to any
-    /// instance that may hold it, and learn the holder from the reply.
+    /// Leases are not announced to other failure domains. Their instances send to any instance that
+    /// may hold the lease, and learn the holder from the reply.
     fn forward(
         &mut self,
         now: Millis,
@@ -306,12 +306,12 @@
     }
 
     /// Returns how many of an upstream's slots this entry may use under its static share.
-    fn share_slots(&self, now: Millis, whole: SlotLimits) -> SlotLimits {
-        let Some(leases) = &self.leases else { return whole };
+    fn share_slots(&self, now: Millis, limits: SlotLimits) -> SlotLimits {
+        let Some(leases) = &self.leases else { return limits };
         // If the other voters can form a majority, a dispatcher may run on the other side of a
         // network partition. It reserves no more than the static part for this entry.
         let own =
-            if leases.others_may_form_majority(now) { whole.static_slots() } else { whole.cold };
+            if leases.others_may_form_majority(now) { limits.static_slots() } else { limits.cold };
         SlotLimits { cold: own, warm: own }
     }
 
--- a/src/kingcupgrade/coordination/traffic/queue.rs
+++ b/src/kingcupgrade/coordination/traffic/queue.rs
@@ -62,7 +62,7 @@
             true => ShareStatus::Within,
             false => self.shares.status(now, &demand.organisation, work),
         };
-        self.shares.on_asked(now, &demand.organisation, work);
+        self.shares.on_requested(now, &demand.organisation, work);
         match self.start(now, &demand, status) {
             Ok(verdict) => Some(verdict),
             Err(PlacementError::NoUpstream) => {
@@ -84,12 +84,12 @@
     /// Counts a request that is refused before admission because this entry's processor is
     /// overloaded, and returns the caller's retry delay.
     ///
-    /// The request counts as asked for and refused. If it weren't counted, an organisation whose
+    /// The request counts as requested and refused. If it weren't counted, an organisation whose
     /// callers all use one busy entry would seem to ask for little, and would not limit the
     /// organisations that take its share at other entries.
     pub fn refuse_overloaded(&mut self, now: Millis, demand: &Demand) -> Millis {
         let work = demand.work();
-        self.shares.on_asked(now, &demand.organisation, work);
+        self.shares.on_requested(now, &demand.organisation, work);
         self.shares.on_refused(now, &demand.organisation, work);
         RETRY_AFTER_OVERLOAD
     }
--- a/src/kingcupgrade/coordination/view.rs
+++ b/src/kingcupgrade/coordination/view.rs
@@ -39,7 +39,7 @@
     domains: BTreeMap<FailureDomain, Availability<FailureDomain>>,
     upstreams: BTreeMap<UpstreamName, Availability<UpstreamName>>,
     orders: BTreeMap<UpstreamName, UpstreamOrder>,
-    whole: Option<StoredConfiguration>,
+    configuration: Option<StoredConfiguration>,
     confirmed: Option<Millis>,
 }
 
@@ -60,8 +60,8 @@
     }
 
     /// Returns the complete configuration in force, as its operator sent it.
-    pub fn whole(&self) -> Option<&StoredConfiguration> {
-        self.whole.as_ref()
+    pub fn configuration(&self) -> Option<&StoredConfiguration> {
+        self.configuration.as_ref()
     }
 
     /// Returns the states of failure domains.
@@ -130,9 +130,9 @@
             changed |= merge_newer(&mut self.orders, &order.upstream, order, |o| o.index);
         }
         if let Some(configuration) = configuration
-            && self.whole.as_ref().is_none_or(|known| known.index < configuration.index)
+            && self.configuration.as_ref().is_none_or(|known| known.index < configuration.index)
         {
-            self.whole = Some(configuration.clone());
+            self.configuration = Some(configuration.clone());
             changed = true;
         }
         // A state that answers an earlier process of this instance leaves out what that process
@@ -155,8 +155,8 @@
         if known.is_some_and(|known| known.stored.index >= stored.index) {
             return false;
         }
-        // The record holds only validated documents. One that can't be parsed here was validated by
-        // a newer version of the program; the known document stays in force.
+        // The record holds only validated documents. One that this version of the program can't
+        // parse was validated by a newer version; the known document stays in force.
         let Ok(document) = Document::parse(&stored.text) else { return false };
         let in_force = InForce { document: Arc::new(document), stored: stored.clone() };
         self.documents.insert(stored.service.clone(), in_force);
@@ -176,7 +176,11 @@
             domains: self.domains.values().filter(|s| s.index > have).cloned().collect(),
             upstreams: self.upstreams.values().filter(|s| s.index > have).cloned().collect(),
             orders: self.orders.values().filter(|o| o.index > have).cloned().collect(),
-            configuration: self.whole.as_ref().filter(|whole| whole.index > have).cloned(),
+            configuration: self
+                .configuration
+                .as_ref()
+                .filter(|stored| stored.index > have)
+                .cloned(),
         }
     }
 }
--- a/src/kingcupgrade/transport/gateway/listing.rs
+++ b/src/kingcupgrade/transport/gateway/listing.rs
@@ -32,7 +32,7 @@
 /// A list that took longer to read is not sent to other entries: the process was suspended or
 /// starved of processor time meanwhile, and the list may be older than theirs.
 const MAX_READ_TIME: Millis = Millis(500);
-/// The time-out for reading a page.
+/// The timeout for reading a page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(800);
 /// The maximum number of pages read at a time.
 const MAX_PAGES: usize = 1_000;
@@ -88,7 +88,7 @@
     }
 
     /// Applies an update from another entry; asks that entry for the complete list if the update is
-    /// relative to a list that is not known here.
+    /// relative to a list that this entry does not have.
     pub(super) fn on_listing_update(&self, from: Instance, update: ListingUpdate) {
         let age = update.age;
         let mut known = self.listing.borrow_mut();
--- a/src/kingcupgrade/transport/gateway/mod.rs
+++ b/src/kingcupgrade/transport/gateway/mod.rs
@@ -100,7 +100,7 @@
         *self.drain.borrow()
     }
 
-    /// Returns whether a request with this time-out is certain to end before the process does.
+    /// Returns whether a request with this timeout is certain to end before the process does.
     fn has_time_for(&self, timeout: Millis) -> bool {
         self.shutdown.get().has_time_for(self.now(), timeout)
     }
@@ -183,7 +183,7 @@
                 let out: BTreeSet<_> = out.collect();
                 let mut traffic = self.traffic.borrow_mut();
                 traffic.set_domains_out(out);
-                let Some(newest) = view.whole() else { return };
+                let Some(newest) = view.configuration() else { return };
                 let known = traffic.configuration().map_or(0, |known| known.version);
                 if newest.version <= known {
                     return;
@@ -245,7 +245,7 @@
     metrics::start(settings.metrics_address).await.context("metrics")?;
     let (update_tx, mut updates) = mpsc::unbounded_channel();
     let sink = move |update| {
-        // The receiver is gone only while the process exits.
+        // The receiver is dropped only while the process exits.
         let _ = update_tx.send(update);
     };
     let fleet = FleetHandle::start(settings.clone(), Box::new(sink))?;
--- a/src/kingcupgrade/transport/peers.rs
+++ b/src/kingcupgrade/transport/peers.rs
@@ -38,10 +38,10 @@
 
 /// The maximum number of messages queued for a peer.
 const QUEUE_LEN: usize = 4_096;
-/// The time-out for connecting. A machine without power doesn't respond at all, and once it is back
+/// The timeout for connecting. A host without power doesn't respond at all, and once it is back
 /// only a new attempt reaches it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The time-out for connecting and the handshake together.
+/// The timeout for connecting and the handshake together.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The pause after a failed dial.
 const DIAL_PAUSE: Duration = Duration::from_millis(200);
@@ -81,7 +81,7 @@
 /// Returns the address on which an instance listens, if it is known.
 pub type AddressBook = Arc<dyn Fn(&Instance) -> Option<SocketAddr> + Send + Sync>;
 
-/// The configuration of an instance's connections to the others.
+/// The configuration of an instance's connections to its peers.
 #[derive(Clone)]
 pub struct PeerConfig {
     /// The name of this instance.
@@ -113,7 +113,7 @@
         };
         PeerConfig {
             instance: settings.instance.clone(),
-            address: settings.own().address,
+            address: settings.own_peer().address,
             fleet_key: settings.fleet_key.as_str().into(),
             addresses: Arc::new(move |instance| listed.peer(instance).map(|peer| peer.address)),
             sink: Arc::new(sink),
