--- a/src/kingcupgrade/ops/fleet.rs
+++ b/src/kingcupgrade/ops/fleet.rs
@@ -13,14 +13,14 @@
 /// # Errors
 ///
 /// Returns an error if the process cannot start, or stops for another reason than the signal.
-pub fn serve_fleet<E: PlatformAdapter>(edge: E) -> anyhow::Result<()> {
+pub fn serve_fleet<E: PlatformAdapter>(adapter: E) -> anyhow::Result<()> {
     process::run_logged(|| {
         let signals = EarlySignals::catch()?;
-        let edge = Arc::new(edge);
-        let settings = Arc::new(edge.read_settings()?);
+        let adapter = Arc::new(adapter);
+        let settings = Arc::new(adapter.read_settings()?);
         match settings.role {
-            Role::Entry => gateway::run(edge, settings, signals),
-            Role::Control => control_server::run(edge, settings, signals),
+            Role::Entry => gateway::run(adapter, settings, signals),
+            Role::Control => control_server::run(adapter, settings, signals),
         }
     })
 }
